--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -83,7 +83,7 @@
 	struct entry *entry = data;
 
 	entry->wake_id = 0;
-	dsp_run(entry->dispatch, clk_now_ms());
+	dsp_place_tasks(entry->dispatch, clk_now_ms());
 	return G_SOURCE_REMOVE;
 }
 
@@ -140,7 +140,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_up(entry->pool, al, worker, clk_now_ms());
+	pool_set_connected(entry->pool, al, worker, clk_now_ms());
 	wake(entry);
 }
 
@@ -149,7 +149,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_down(entry->pool, al);
+	pool_set_disconnected(entry->pool, al);
 }
 
 static void
@@ -157,7 +157,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_gone(entry->pool, al);
+	pool_remove(entry->pool, al);
 }
 
 static void
@@ -166,7 +166,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_load(entry->pool, al, load, unseen, clk_now_ms());
+	pool_set_load(entry->pool, al, load, unseen, clk_now_ms());
 	wake(entry);
 }
 
@@ -185,7 +185,7 @@
 {
 	struct entry *entry = ctx;
 
-	return place_has_live(entry->place, service);
+	return place_has_live_worker(entry->place, service);
 }
 
 static uint32_t
@@ -207,7 +207,7 @@
 	facts->current = fresh_is_current(entry->fresh, now_ms);
 	facts->live_entries = live_entries(entry);
 	facts->waiting = dsp_waiting(entry->dispatch, service);
-	facts->service_live = place_has_live(entry->place, service);
+	facts->service_live = place_has_live_worker(entry->place, service);
 	facts->expected_wait_ms = place_expected_wait_ms(
 	    entry->place, service, facts->waiting, now_ms);
 	facts->is_live = is_live;
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -444,7 +444,7 @@
 	struct ja *ja = ctx;
 
 	describe_again(ja);
-	led_pump(ja->led, clk_now_ms());
+	led_start_queued(ja->led, clk_now_ms());
 }
 
 static void
@@ -498,7 +498,7 @@
 	    .may_start = may_start,
 	    .start = start_run,
 	    .stop = stop_run,
-	    .look = look_again,
+	    .request_report = look_again,
 	    .result = on_result,
 	    .ctx = ja,
 	};
@@ -548,7 +548,7 @@
 	ja->labels = copy_labels(worker);
 	if (changed)
 		describe_again(ja);
-	led_pump(ja->led, clk_now_ms());
+	led_start_queued(ja->led, clk_now_ms());
 	return true;
 }
 
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -197,7 +197,7 @@
 	}
 	job_ref(*job);
 	adm_take(api->opts.admit, spec->service, spec->team, spec->n_tasks);
-	rty_request(api->opts.retry);
+	rty_count_request(api->opts.retry);
 	(*api->submitted)++;
 	*api->open += spec->n_tasks;
 	dsp_submit(api->opts.dispatch, *job);
@@ -219,7 +219,7 @@
 
 static struct api_call *
 submit_form(struct api_call *call, const struct api_request *request,
-    const struct jobform *form, const struct job_spec *identity)
+    const struct jf_submission *form, const struct job_spec *identity)
 {
 	char traceparent[TRC_PARENT_LEN + 1];
 	struct adm_request want = {
@@ -269,7 +269,7 @@
 {
 	struct api *api = call->api;
 	struct job_spec spec = {.id = request->id, .counter = counter};
-	struct jobform *form;
+	struct jf_submission *form;
 	struct status why;
 	enum ref_code code;
 
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -213,7 +213,7 @@
 	}
 	wk_add(&led->queued, &run->size);
 	g_sequence_insert_sorted(led->queue, run, by_priority, NULL);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 static void
@@ -304,7 +304,7 @@
  * behind it.  A task whose former run has not ended yet is passed over.
  */
 void
-led_pump(struct led *led, int64_t now_ms)
+led_start_queued(struct led *led, int64_t now_ms)
 {
 	GSequenceIter *it;
 
@@ -350,7 +350,7 @@
 		    now_ms - run->stop_sent_ms >= STOP_REPEAT_MS)
 			send_stop(led, run, now_ms);
 	}
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 static struct run *
@@ -392,7 +392,7 @@
 	case WP_NO_ANSWER:
 		if (run->state == STARTING) {
 			run->unsure_ms = now_ms;
-			led->opts.look(led->opts.ctx);
+			led->opts.request_report(led->opts.ctx);
 		}
 		return;
 	case WP_LATE:
@@ -404,7 +404,7 @@
 	finish(led, run, LED_NOT_STARTED,
 	    answer->reason == NULL ? "refused by the worker" : answer->reason,
 	    now_ms);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 void
@@ -422,7 +422,7 @@
 	if (verdict != WP_DONE && verdict != WP_STALE)
 		return;
 	run->sealed_ms = now_ms;
-	led->opts.look(led->opts.ctx);
+	led->opts.request_report(led->opts.ctx);
 }
 
 static void
@@ -568,7 +568,7 @@
 		    led, &report->running[i], report->answer.clock_ms, now_ms);
 	settle_unsure(led, report, sent_ms, now_ms);
 	release_sealed(led, report, sent_ms, now_ms);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 void
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -92,7 +92,7 @@
 	    .may_start = may_start,
 	    .start = on_start,
 	    .stop = on_stop,
-	    .look = on_look,
+	    .request_report = on_look,
 	    .result = on_result,
 	    .ctx = t,
 	};
