--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -162,7 +162,7 @@
 	int64_t now_ms = clk_now_ms();
 
 	if (verdict != WP_NO_ANSWER) {
-		ans_came(&hold->answers, now_ms - sent_ms);
+		ans_received(&hold->answers, now_ms - sent_ms);
 		hold->silent_since_ms = 0;
 		return;
 	}
--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -85,9 +85,9 @@
 	if (previous != 0 && previous != entry->incarnation &&
 	    es_find(agent->es, previous) == NULL) {
 		ex_drop(agent->ex, previous);
-		out_gone(agent->out, previous);
+		out_forget(agent->out, previous);
 	}
-	out_open(agent->out, entry->incarnation);
+	out_connected(agent->out, entry->incarnation);
 	es_choose(agent->es);
 	return true;
 }
@@ -98,7 +98,7 @@
 	struct agent *agent = ctx;
 
 	(void)el;
-	out_close(agent->out, entry, clk_now_ms());
+	out_disconnected(agent->out, entry, clk_now_ms());
 	if (agent->es != NULL)
 		es_choose(agent->es);
 }
@@ -213,7 +213,7 @@
 {
 	struct agent *agent = ctx;
 
-	return out_records(agent->out, entry) == 0;
+	return out_record_count(agent->out, entry) == 0;
 }
 
 static void
@@ -293,7 +293,7 @@
 	scan->ended = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	scan->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	scan->waiting = false;
-	out_each(agent->out, scan_entry, scan);
+	out_foreach(agent->out, scan_entry, scan);
 }
 
 static void
@@ -314,7 +314,7 @@
 	for (i = 0; i < scan.ended->len; i++)
 		ex_drop(agent->ex, g_array_index(scan.ended, uint64_t, i));
 	for (i = 0; i < scan.gone->len; i++)
-		out_gone(agent->out, g_array_index(scan.gone, uint64_t, i));
+		out_forget(agent->out, g_array_index(scan.gone, uint64_t, i));
 	scan_clear(&scan);
 }
 
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -122,7 +122,7 @@
 {
 	struct entry *entry = ctx;
 
-	api_ended(entry->api, job);
+	api_job_ended(entry->api, job);
 }
 
 /* Agents to dispatch. */
@@ -198,21 +198,21 @@
 }
 
 static void
-fill_facts(const char *service, struct adm_facts *facts, void *ctx)
+fill_snapshot(const char *service, struct adm_snapshot *snapshot, void *ctx)
 {
 	struct entry *entry = ctx;
 	int64_t now_ms = clk_now_ms();
 
-	facts->cfg = fresh_config(entry->fresh);
-	facts->current = fresh_is_current(entry->fresh, now_ms);
-	facts->live_entries = live_entries(entry);
-	facts->waiting = dsp_waiting(entry->dispatch, service);
-	facts->service_live = place_has_live_worker(entry->place, service);
-	facts->expected_wait_ms = place_expected_wait_ms(
-	    entry->place, service, facts->waiting, now_ms);
-	facts->is_live = is_live;
-	facts->is_live_ctx = entry;
-	facts->place = entry->place;
+	snapshot->cfg = fresh_config(entry->fresh);
+	snapshot->config_confirmed = fresh_is_current(entry->fresh, now_ms);
+	snapshot->live_entries = live_entries(entry);
+	snapshot->waiting = dsp_waiting(entry->dispatch, service);
+	snapshot->service_live = place_has_live_worker(entry->place, service);
+	snapshot->expected_wait_ms = place_expected_wait_ms(
+	    entry->place, service, snapshot->waiting, now_ms);
+	snapshot->is_live = is_live;
+	snapshot->is_live_ctx = entry;
+	snapshot->place = entry->place;
 }
 
 /* The other entries. */
@@ -460,7 +460,7 @@
 	    .counters = entry->counters,
 	    .traces = entry->traces,
 	    .limits = {set->max_tasks, WIRE_PAYLOAD_MAX},
-	    .facts = fill_facts,
+	    .snapshot = fill_snapshot,
 	    .owner = find_owner,
 	    .forward = forward,
 	    .ctx = entry,
--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -195,7 +195,7 @@
 		hr_refuse(
 		    msg, REF_SHUTTING_DOWN, "this entry is shutting down");
 	} else {
-		answer = api_mint(http->opts.api, count);
+		answer = api_mint_ids(http->opts.api, count);
 		hr_json(msg, 200, answer, strlen(answer));
 		g_free(answer);
 	}
