--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -212,7 +212,7 @@
 }
 
 static void
-fill_beat(struct run_beat_args *args, void *ctx)
+fill_beat(struct run_heartbeat_args *args, void *ctx)
 {
 	struct je *je = ctx;
 
@@ -344,7 +344,7 @@
 	    .address = address,
 	    .name = je->opts.name,
 	    .incarnation = je->incarnation,
-	    .beat = fill_beat,
+	    .fill_heartbeat = fill_beat,
 	    .worker = on_worker,
 	    .update = on_update,
 	    .closed = on_link_closed,
@@ -454,7 +454,7 @@
 	    g_strv_length(je->out_list));
 	g_hash_table_iter_init(&iter, je->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		wlk_beat(((struct agent *)value)->link);
+		wlk_send_heartbeat(((struct agent *)value)->link);
 	run_soon(je);
 }
 
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -383,7 +383,7 @@
 		if (run->state == STARTING)
 			run->state = RUNNING;
 		return;
-	case WP_STALE:
+	case WP_STALE_RUN:
 		if (run->state == STARTING && run->renumbers < MAX_RENUMBERS) {
 			renumber(led, run, now_ms);
 			return;
@@ -395,7 +395,7 @@
 			led->opts.request_report(led->opts.ctx);
 		}
 		return;
-	case WP_LATE:
+	case WP_DEADLINE_PASSED:
 	case WP_FENCED:
 	case WP_REFUSED:
 	case WP_REPLACED:
@@ -419,7 +419,7 @@
 		send_stop(led, run, now_ms);
 		return;
 	}
-	if (verdict != WP_DONE && verdict != WP_STALE)
+	if (verdict != WP_DONE && verdict != WP_STALE_RUN)
 		return;
 	run->sealed_ms = now_ms;
 	led->opts.request_report(led->opts.ctx);
@@ -432,7 +432,7 @@
 
 	if (run == NULL || strcmp(run->task, end->task) != 0)
 		return;
-	switch (end->how) {
+	switch (end->end_kind) {
 	case WP_ENDED_DONE:
 		finish(led, run, LED_DONE, "", now_ms);
 		return;
@@ -440,7 +440,7 @@
 		finish(led, run, LED_FAILED, "", now_ms);
 		return;
 	case WP_ENDED_STOPPED:
-	case WP_ENDED_LAPSED:
+	case WP_ENDED_LEASE_EXPIRED:
 		break;
 	}
 	finish(led, run, run->stalled ? LED_STALLED : LED_LOST,
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -524,7 +524,7 @@
 	(void)ctx;
 	if (!hl_body_exceeds(msg, MAX_BODY_BYTES))
 		return;
-	hl_refuse_body(msg);
+	hl_discard_body(msg);
 	refuse(
 	    msg, ST_LIMIT, "a body needs Content-Length and is at most 2 MB");
 }
@@ -534,7 +534,7 @@
 {
 	GSList *uris;
 
-	hl_limit_receive(ops->server, HL_RECEIVE_MS);
+	hl_set_receive_timeout(ops->server, HL_RECEIVE_TIMEOUT_MS);
 	if (!hl_listen(ops->server, ops->opts.listen, st))
 		return false;
 	uris = soup_server_get_uris(ops->server);
