--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -212,9 +212,9 @@
 	    .traceparent = traceparent,
 	};
 
-	trc_format(&task->span, parent);
+	trc_format_traceparent(&task->span, parent);
 	trc_start(&task->call_span, parent);
-	trc_format(&task->call_span, traceparent);
+	trc_format_traceparent(&task->call_span, traceparent);
 	task->called_ns = clk_now_ns();
 	task->called_wall_ms = clk_wall_ms();
 	(*ex->starts)++;
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -646,7 +646,7 @@
 }
 
 void
-ja_left(struct ja *ja, const char *instance)
+ja_worker_left(struct ja *ja, const char *instance)
 {
 	hold_worker_left(ja->hold, instance);
 }
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -163,7 +163,7 @@
 	case SCH_BROKEN:
 		break;
 	}
-	return JE_BROKEN;
+	return JE_ABORTED;
 }
 
 static const char *
@@ -741,7 +741,7 @@
 	struct waiter *waiter = add_waiter(je, job, fn, ctx);
 	struct waiter *former = sch_replace_waiter(je->sch, job, waiter);
 	struct je_answer a = {
-	    .result = JE_BROKEN, .reason = "the job was sent again"};
+	    .result = JE_ABORTED, .reason = "the job was sent again"};
 
 	evt_write("resend", "\"job\":\"%s\"", job);
 	if (former != NULL)
@@ -820,8 +820,8 @@
 }
 
 void
-je_state(struct je *je, const char *host, const char *path, const char *job,
-    je_answer_fn fn, void *ctx)
+je_query_state(struct je *je, const char *host, const char *path,
+    const char *job, je_answer_fn fn, void *ctx)
 {
 	if (find_queue(je, host, path, fn, ctx) == NULL)
 		return;
@@ -836,7 +836,7 @@
     je_answer_fn fn, void *ctx)
 {
 	struct je_answer gone = {
-	    .result = JE_BROKEN, .reason = "the job was cancelled"};
+	    .result = JE_ABORTED, .reason = "the job was cancelled"};
 	struct waiter *waiter;
 
 	if (find_queue(je, host, path, fn, ctx) == NULL)
@@ -853,11 +853,11 @@
 }
 
 void
-je_count(struct je *je, const char *host, const char *path, je_answer_fn fn,
-    void *ctx)
+je_count_pending(struct je *je, const char *host, const char *path,
+    je_answer_fn fn, void *ctx)
 {
 	const struct rts_queue *queue = find_queue(je, host, path, fn, ctx);
-	struct je_answer a = {.result = JE_COUNT, .reason = ""};
+	struct je_answer a = {.result = JE_PENDING_COUNT, .reason = ""};
 
 	if (queue == NULL)
 		return;
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -235,7 +235,7 @@
 	enum ref_code code;
 	struct job *job;
 
-	trc_format(&call->span, traceparent);
+	trc_format_traceparent(&call->span, traceparent);
 	spec.traceparent = traceparent;
 	spec.service = form->service;
 	spec.team = form->team;
@@ -381,7 +381,7 @@
 		struct api_request copy = *request;
 		char traceparent[TRC_PARENT_LEN + 1];
 
-		trc_format(&call->span, traceparent);
+		trc_format_traceparent(&call->span, traceparent);
 		copy.traceparent = traceparent;
 		if (api->opts.forward(incarnation, &copy, on_forwarded, call,
 			api->opts.ctx)) {
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -337,7 +337,7 @@
 	char *change_id = NULL, *text = NULL;
 	int64_t expected = 0;
 
-	if (jsonc_only(body, keys, &st) &&
+	if (jsonc_check_keys(body, keys, &st) &&
 	    jsonc_int(body, "expected_version", JSONC_REQUIRED, 0, INT64_MAX,
 		&expected, &st) &&
 	    jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st) &&
@@ -378,7 +378,7 @@
 	char *name = NULL, *change_id = NULL;
 	bool out = false;
 
-	if (jsonc_only(body, keys, &st) && read_kind(body, &kind, &st) &&
+	if (jsonc_check_keys(body, keys, &st) && read_kind(body, &kind, &st) &&
 	    jsonc_name(body, "name", JSONC_REQUIRED, &name, &st) &&
 	    jsonc_bool(body, "out", JSONC_REQUIRED, &out, &st) &&
 	    jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st)) {
@@ -403,7 +403,7 @@
 	char *hex = NULL, *change_id = NULL;
 	guint64 incarnation;
 
-	if (!jsonc_only(body, keys, &st) ||
+	if (!jsonc_check_keys(body, keys, &st) ||
 	    !jsonc_name(body, "incarnation", JSONC_REQUIRED, &hex, &st) ||
 	    !jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st)) {
 		send_refusal(msg, &st);
