--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -128,7 +128,7 @@
 			    el->address, st.message);
 			return;
 		}
-		fresh_take(el->opts.fresh, cfg);
+		fresh_update(el->opts.fresh, cfg);
 		cfg_unref(cfg);
 	}
 	if (config->age_ms >= 0 && echo_ns >= el->first_ns &&
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -295,8 +295,8 @@
 		    "%u jobs and %u requests in progress "
 		    "after the drain time",
 		    job_table_open(entry->jobs), http_in_progress(entry->http));
-	chg_retire(entry->change);
-	mem_leave(entry->members, on_left, entry);
+	chg_stop_voting(entry->change);
+	mem_deregister(entry->members, on_left, entry);
 }
 
 static void
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -383,7 +383,7 @@
 	    jsonc_bool(body, "out", JSONC_REQUIRED, &out, &st) &&
 	    jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st)) {
 		request = request_new(ops, msg);
-		chg_out(ops->opts.chg, kind, name, out, change_id, on_done,
+		chg_set_out(ops->opts.chg, kind, name, out, change_id, on_done,
 		    request);
 		request_wait(request);
 	} else {
@@ -412,7 +412,7 @@
 		refuse(msg, ST_INVALID, "incarnation: expected 16 hex digits");
 	} else {
 		request = request_new(ops, msg);
-		chg_ended(
+		chg_mark_ended(
 		    ops->opts.chg, incarnation, change_id, on_done, request);
 		request_wait(request);
 	}
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -631,7 +631,7 @@
 	enum sch_submit_result verdict;
 	struct jt_job *job;
 
-	if (request->queue->advised)
+	if (request->queue->external_placement)
 		return SCH_UNSUPPORTED;
 	read_clock(sch, now_ms);
 	verdict =
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -100,7 +100,7 @@
 	struct cfg *cfg = cfg_parse(document, strlen(document), &st);
 
 	ck_assert_msg(cfg != NULL, "%s", st.message);
-	fresh_take(w->fresh, cfg);
+	fresh_update(w->fresh, cfg);
 	cfg_unref(cfg);
 	g_free(document);
 	pool_refresh(w->pool, w->now_ms);
