--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -454,10 +454,10 @@
 }
 
 static void
-tell_setback(struct sch *sch, const struct jt_task *task,
+report_failed_start(struct sch *sch, const struct jt_task *task,
     const struct wks_worker *w, enum sch_outcome outcome, const char *reason)
 {
-	struct sch_setback setback = {
+	struct sch_setback failure = {
 	    .job = task->job->spec->id,
 	    .step = task->step,
 	    .index = task->index,
@@ -469,7 +469,7 @@
 	    .sent_ms = task->sent_ms,
 	};
 
-	sch->opts.setback(w->link, &setback, sch->opts.ctx);
+	sch->opts.setback(w->link, &failure, sch->opts.ctx);
 }
 
 void
@@ -507,7 +507,7 @@
 		hlt_refused(&w->health, now_ms);
 		break;
 	}
-	tell_setback(sch, task, w, outcome, reason);
+	report_failed_start(sch, task, w, outcome, reason);
 	task_again(sch, task, reason);
 }
 
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -78,7 +78,7 @@
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
 	void (*setback)(
-	    void *link, const struct sch_setback *setback, void *ctx);
+	    void *link, const struct sch_setback *failure, void *ctx);
 	/* The job has ended; waiter is what sch_submit() got. */
 	void (*ended)(void *waiter, const char *job, enum sch_end end,
 	    const char *reason, void *ctx);
--- a/tests/test_sched.c
+++ b/tests/test_sched.c
@@ -72,10 +72,10 @@
 }
 
 static void
-on_setback(void *data, const struct sch_setback *setback, void *ctx)
+on_start_failed(void *data, const struct sch_setback *failure, void *ctx)
 {
 	(void)data;
-	(void)setback;
+	(void)failure;
 	(void)ctx;
 }
 
@@ -116,7 +116,7 @@
 	    .start = on_start,
 	    .flush = on_flush,
 	    .cancel = on_cancel,
-	    .setback = on_setback,
+	    .setback = on_start_failed,
 	    .ended = on_ended,
 	    .ctx = t,
 	};
