--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -5,17 +5,17 @@
 #include "request/dispatch.h"
 
 /* A submitted job that is not finished. */
-struct djob {
+struct dsp_job {
 	struct job *job;
 	struct queue *queue;
-	GList *link; /* in the queue while tasks wait */
+	GList *link; /* in the queue, while tasks wait */
 	GSequenceIter *timer;
-	int64_t at_ms;
-	uint32_t counted; /* waiting tasks counted in the queue */
+	int64_t timer_ms;
+	uint32_t counted; /* its share of queue->waiting */
 };
 
 struct queue {
-	GQueue jobs; /* struct djob with waiting tasks, oldest first */
+	GQueue jobs; /* struct dsp_job with waiting tasks, in order */
 	uint32_t waiting;
 };
 
@@ -26,7 +26,7 @@
 };
 
 /* A start whose outcome is not known. */
-struct out {
+struct open_start {
 	struct job *job; /* holds a reference */
 	uint32_t task;
 	uint32_t place_id;
@@ -36,10 +36,10 @@
 struct dispatch {
 	struct dsp_options opts;
 	GHashTable *queues; /* service -> struct queue */
-	GHashTable *jobs;   /* struct job -> struct djob */
-	GPtrArray *batches; /* struct batch, while a job is placed */
-	GHashTable *outs;   /* &seq -> struct out */
-	GSequence *timers;  /* struct djob by at_ms */
+	GHashTable *jobs;   /* struct job -> struct dsp_job */
+	GPtrArray *batches; /* struct batch, in use while a job is placed */
+	GHashTable *open_starts; /* &seq -> struct open_start */
+	GSequence *timers;	 /* struct dsp_job by timer_ms */
 	uint64_t next_seq;
 	int64_t *started, *not_started, *unknown, *done, *dropped, *retried;
 	int64_t *messages;
@@ -55,21 +55,21 @@
 }
 
 static void
-free_djob(gpointer data)
+free_job(gpointer data)
 {
-	struct djob *dj = data;
+	struct dsp_job *dj = data;
 
 	job_unref(dj->job);
 	g_free(dj);
 }
 
 static void
-free_out(gpointer data)
+free_open_start(gpointer data)
 {
-	struct out *out = data;
+	struct open_start *start = data;
 
-	job_unref(out->job);
-	g_free(out);
+	job_unref(start->job);
+	g_free(start);
 }
 
 static void
@@ -92,7 +92,6 @@
 	    "second starts of idempotent requests with unknown outcome");
 }
 
-/* Makes a dispatcher without jobs and agents. */
 struct dispatch *
 dsp_new(const struct dsp_options *opts)
 {
@@ -101,10 +100,10 @@
 	dsp->opts = *opts;
 	dsp->queues =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_queue);
-	dsp->jobs = g_hash_table_new_full(NULL, NULL, NULL, free_djob);
+	dsp->jobs = g_hash_table_new_full(NULL, NULL, NULL, free_job);
 	dsp->batches = g_ptr_array_new_with_free_func(bat_free);
-	dsp->outs = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, g_free, free_out);
+	dsp->open_starts = g_hash_table_new_full(
+	    g_int64_hash, g_int64_equal, g_free, free_open_start);
 	dsp->timers = g_sequence_new(NULL);
 	dsp->next_seq = 1;
 	make_counters(dsp, opts->counters);
@@ -116,7 +115,7 @@
 dsp_free(struct dispatch *dsp)
 {
 	g_sequence_free(dsp->timers);
-	g_hash_table_unref(dsp->outs);
+	g_hash_table_unref(dsp->open_starts);
 	g_hash_table_unref(dsp->jobs);
 	g_hash_table_unref(dsp->queues);
 	g_ptr_array_unref(dsp->batches);
@@ -126,25 +125,28 @@
 static int
 compare_timers(gconstpointer a, gconstpointer b, gpointer data)
 {
-	const struct djob *x = a, *y = b;
+	const struct dsp_job *x = a, *y = b;
 
 	(void)data;
-	return (x->at_ms > y->at_ms) - (x->at_ms < y->at_ms);
+	return (x->timer_ms > y->timer_ms) - (x->timer_ms < y->timer_ms);
 }
 
 static void
-set_timer(struct dispatch *dsp, struct djob *dj, int64_t at_ms)
+set_timer(struct dispatch *dsp, struct dsp_job *dj, int64_t timer_ms)
 {
 	if (dj->timer != NULL)
 		g_sequence_remove(dj->timer);
-	dj->at_ms = at_ms;
+	dj->timer_ms = timer_ms;
 	dj->timer =
 	    g_sequence_insert_sorted(dsp->timers, dj, compare_timers, NULL);
 }
 
-/* Brings the queue in line with the number of tasks that wait. */
+/*
+ * Updates the queue after a change of the job's waiting tasks.  A job that
+ * joins the queue goes to its front or its tail.
+ */
 static void
-update_queue(struct djob *dj, bool front)
+update_queue(struct dsp_job *dj, bool front)
 {
 	uint32_t waiting = job_n_waiting(dj->job);
 
@@ -162,9 +164,9 @@
 	}
 }
 
-/* Drops a finished job; returns whether it was finished. */
+/* Removes the job and reports its end, if it is finished. */
 static bool
-end_if_finished(struct dispatch *dsp, struct djob *dj)
+end_if_finished(struct dispatch *dsp, struct dsp_job *dj)
 {
 	struct job *job = dj->job;
 
@@ -203,7 +205,7 @@
 	need->memory_mb = spec->memory_mb;
 }
 
-/* The last task to end decides the answer, so long ones go first. */
+/* A job is complete only when its last task ends, so long tasks go first. */
 static void
 sort_tasks(struct dispatch *dsp, struct job *job)
 {
@@ -226,7 +228,7 @@
 void
 dsp_submit(struct dispatch *dsp, struct job *job)
 {
-	struct djob *dj = g_new0(struct djob, 1);
+	struct dsp_job *dj = g_new0(struct dsp_job, 1);
 
 	dj->job = job_ref(job);
 	dj->queue = get_queue(dsp, job_service(job));
@@ -242,15 +244,15 @@
 {
 	GArray *seqs = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	const struct job_task *task;
-	struct out *out;
+	struct open_start *start;
 	uint32_t i;
 
 	for (i = 0; i < job_n_tasks(job); i++) {
 		task = job_task(job, i);
 		if (task->state != JOB_TASK_PLACED)
 			continue;
-		out = g_hash_table_lookup(dsp->outs, &task->seq);
-		if (out != NULL && out->agent == agent)
+		start = g_hash_table_lookup(dsp->open_starts, &task->seq);
+		if (start != NULL && start->agent == agent)
 			g_array_append_val(seqs, task->seq);
 	}
 	for (i = 0; i < seqs->len; i += WIRE_BATCH_MAX)
@@ -264,25 +266,29 @@
 {
 	GPtrArray *agents = g_ptr_array_new();
 	const struct job_task *task;
-	struct out *out;
+	struct open_start *start;
 	uint32_t i;
 
 	for (i = 0; i < job_n_tasks(job); i++) {
 		task = job_task(job, i);
 		if (task->state != JOB_TASK_PLACED)
 			continue;
-		out = g_hash_table_lookup(dsp->outs, &task->seq);
-		if (out != NULL && !g_ptr_array_find(agents, out->agent, NULL))
-			g_ptr_array_add(agents, out->agent);
+		start = g_hash_table_lookup(dsp->open_starts, &task->seq);
+		if (start != NULL &&
+		    !g_ptr_array_find(agents, start->agent, NULL))
+			g_ptr_array_add(agents, start->agent);
 	}
 	for (i = 0; i < agents->len; i++)
 		withdraw_from(dsp, job, agents->pdata[i]);
 	g_ptr_array_unref(agents);
 }
 
-/* Follows a job that has just begun to fail. */
+/*
+ * Handles a job that has just begun to fail: ends it, or withdraws its starts
+ * and waits for their outcomes until the grace period ends.
+ */
 static void
-begin_failing(struct dispatch *dsp, struct djob *dj, int64_t now_ms)
+begin_failing(struct dispatch *dsp, struct dsp_job *dj, int64_t now_ms)
 {
 	if (end_if_finished(dsp, dj))
 		return;
@@ -291,11 +297,13 @@
 	withdraw_all(dsp, dj->job);
 }
 
-/* Cancels a job: what has not started never will. */
+/*
+ * Cancels a job: its waiting tasks will not run, and its starts are withdrawn.
+ */
 void
 dsp_cancel(struct dispatch *dsp, struct job *job, int64_t now_ms)
 {
-	struct djob *dj = g_hash_table_lookup(dsp->jobs, job);
+	struct dsp_job *dj = g_hash_table_lookup(dsp->jobs, job);
 
 	if (dj == NULL || job_state(job) != JOB_RUNNING)
 		return;
@@ -303,19 +311,18 @@
 	begin_failing(dsp, dj, now_ms);
 }
 
-/* Ends jobs that are past their time; also tries the queues again. */
 void
 dsp_tick(struct dispatch *dsp, int64_t now_ms)
 {
 	GSequenceIter *first;
-	struct djob *dj;
+	struct dsp_job *dj;
 
 	for (;;) {
 		first = g_sequence_get_begin_iter(dsp->timers);
 		if (g_sequence_iter_is_end(first))
 			break;
 		dj = g_sequence_get(first);
-		if (dj->at_ms > now_ms)
+		if (dj->timer_ms > now_ms)
 			break;
 		if (job_state(dj->job) == JOB_RUNNING) {
 			job_fail(dj->job, JOB_CAUSE_DEADLINE, now_ms);
@@ -329,23 +336,23 @@
 	dsp_run(dsp, now_ms);
 }
 
-/* Undoes starts of a batch that was not sent. */
+/* Undoes the starts of a batch that could not be sent. */
 static void
 return_batch(struct dispatch *dsp, struct batch *batch, int64_t now_ms)
 {
 	struct place_task need;
-	struct out *out;
+	struct open_start *start;
 	uint64_t *seq;
 	guint i;
 
 	for (i = 0; i < batch->starts->len; i++) {
 		seq = &g_array_index(batch->starts, wire_start, i).seq;
-		out = g_hash_table_lookup(dsp->outs, seq);
-		task_need(out->job, out->task, &need);
-		pool_unsent(
-		    dsp->opts.pool, out->agent, out->place_id, &need, now_ms);
-		job_not_started(out->job, out->task, *seq, now_ms);
-		g_hash_table_remove(dsp->outs, seq);
+		start = g_hash_table_lookup(dsp->open_starts, seq);
+		task_need(start->job, start->task, &need);
+		pool_unsent(dsp->opts.pool, start->agent, start->place_id,
+		    &need, now_ms);
+		job_not_started(start->job, start->task, *seq, now_ms);
+		g_hash_table_remove(dsp->open_starts, seq);
 	}
 }
 
@@ -364,20 +371,21 @@
 }
 
 static void
-add_start(struct dispatch *dsp, struct djob *dj, uint32_t index, void *agent,
+add_start(struct dispatch *dsp, struct dsp_job *dj, uint32_t index, void *agent,
     uint32_t place_id, int64_t now_ms)
 {
 	struct batch *batch = bat_get(dsp->batches, agent);
-	struct out *out = g_new0(struct out, 1);
+	struct open_start *start = g_new0(struct open_start, 1);
 	uint64_t seq = dsp->next_seq++;
 
 	if (bat_is_full(batch, dj->job, index))
 		send_batch(dsp, batch, now_ms);
-	out->job = job_ref(dj->job);
-	out->task = index;
-	out->agent = agent;
-	out->place_id = place_id;
-	g_hash_table_insert(dsp->outs, g_memdup2(&seq, sizeof(seq)), out);
+	start->job = job_ref(dj->job);
+	start->task = index;
+	start->agent = agent;
+	start->place_id = place_id;
+	g_hash_table_insert(
+	    dsp->open_starts, g_memdup2(&seq, sizeof(seq)), start);
 	job_placed(dj->job, index, seq);
 	bat_add(batch, dj->job, index, seq, now_ms);
 }
@@ -392,18 +400,19 @@
 	g_ptr_array_set_size(dsp->batches, 0);
 }
 
-/* Whether the pass may go on after a task that was not placed. */
+/* Counts a task that was not placed; returns whether the pass goes on. */
 static bool
-may_go_on(struct dispatch *dsp, struct pass *pass, const char *service)
+continue_pass(struct dispatch *dsp, struct pass *pass, const char *service)
 {
 	return ++pass->skipped < PLACE_PASS_TASKS &&
-	       g_hash_table_size(dsp->outs) < dsp->opts.max_outstanding &&
+	       g_hash_table_size(dsp->open_starts) <
+		   dsp->opts.max_outstanding &&
 	       place_has_room(dsp->opts.place, service);
 }
 
-/* Places tasks of one job; returns false when the pass ends. */
+/* Places tasks of one job; returns whether the pass goes on. */
 static bool
-run_job(struct dispatch *dsp, struct djob *dj, struct pass *pass)
+place_job(struct dispatch *dsp, struct dsp_job *dj, struct pass *pass)
 {
 	struct place_task need;
 	uint32_t index, place_id, rank = 0;
@@ -415,7 +424,8 @@
 		rank = job_task(dj->job, index)->rank + 1;
 		task_need(dj->job, index, &need);
 		agent = NULL;
-		if (g_hash_table_size(dsp->outs) < dsp->opts.max_outstanding)
+		if (g_hash_table_size(dsp->open_starts) <
+		    dsp->opts.max_outstanding)
 			agent = pool_choose(
 			    dsp->opts.pool, &need, &place_id, pass->now_ms);
 		if (agent != NULL) {
@@ -423,8 +433,11 @@
 			    dsp, dj, index, agent, place_id, pass->now_ms);
 			continue;
 		}
-		go_on = may_go_on(dsp, pass, need.service);
-		/* Its other tasks are mostly alike and must not end the pass. */
+		go_on = continue_pass(dsp, pass, need.service);
+		/*
+		 * The job's other tasks probably fit no worker either; trying
+		 * them would use up the pass's limit of skipped tasks.
+		 */
 		if (!place_fits_live(dsp->opts.place, &need))
 			break;
 	}
@@ -434,7 +447,7 @@
 }
 
 static void
-run_queue(struct dispatch *dsp, struct queue *queue, const char *service,
+place_queue(struct dispatch *dsp, struct queue *queue, const char *service,
     int64_t now_ms)
 {
 	struct pass pass = {.now_ms = now_ms};
@@ -443,14 +456,14 @@
 
 	while (go_on && link != NULL) {
 		next = link->next;
-		go_on = run_job(dsp, link->data, &pass);
+		go_on = place_job(dsp, link->data, &pass);
 		link = next;
 	}
 }
 
 /*
- * Places waiting tasks.  Does nothing while the configuration is not
- * confirmed, since a domain may have been taken out meanwhile.
+ * Does nothing while the configuration is not confirmed, since a newer one may
+ * have a failure domain out of service.
  */
 void
 dsp_run(struct dispatch *dsp, int64_t now_ms)
@@ -463,27 +476,27 @@
 	place_begin_pass(dsp->opts.place, now_ms);
 	g_hash_table_iter_init(&iter, dsp->queues);
 	while (g_hash_table_iter_next(&iter, &key, &value))
-		run_queue(dsp, value, key, now_ms);
+		place_queue(dsp, value, key, now_ms);
 }
 
 static bool
-try_retry(struct dispatch *dsp, const struct out *out, uint64_t seq)
+try_retry(struct dispatch *dsp, const struct open_start *start, uint64_t seq)
 {
 	struct rty_attempt attempt = {.outcome = RTY_UNKNOWN};
 
-	if (job_request(out->job)->method == NULL ||
-	    job_state(out->job) != JOB_RUNNING)
+	if (job_request(start->job)->method == NULL ||
+	    job_state(start->job) != JOB_RUNNING)
 		return false;
-	attempt.idempotent = job_request(out->job)->idempotent;
-	attempt.attempts = job_task(out->job, out->task)->attempts;
+	attempt.idempotent = job_request(start->job)->idempotent;
+	attempt.attempts = job_task(start->job, start->task)->attempts;
 	if (!rty_allow(dsp->opts.retry, &attempt))
 		return false;
 	(*dsp->retried)++;
-	return job_retry(out->job, out->task, seq);
+	return job_retry(start->job, start->task, seq);
 }
 
 static bool
-apply_outcome(struct dispatch *dsp, const struct out *out,
+apply_outcome(struct dispatch *dsp, const struct open_start *start,
     const wire_result *result, int64_t now_ms)
 {
 	struct job_result done = {.status = result->status};
@@ -492,7 +505,7 @@
 	case WIRE_NOT_STARTED:
 		(*dsp->not_started)++;
 		return job_not_started(
-		    out->job, out->task, result->seq, now_ms);
+		    start->job, start->task, result->seq, now_ms);
 	case WIRE_DONE:
 		(*dsp->done)++;
 		done.body = result->body.wire_payload_val;
@@ -500,36 +513,37 @@
 		done.headers = (struct job_header *)result->headers.headers_val;
 		done.n_headers = result->headers.headers_len;
 		return job_done(
-		    out->job, out->task, result->seq, &done, now_ms);
+		    start->job, start->task, result->seq, &done, now_ms);
 	case WIRE_UNKNOWN:
 		break;
 	}
 	(*dsp->unknown)++;
-	return try_retry(dsp, out, result->seq) ||
-	       job_unknown(out->job, out->task, result->seq, now_ms);
+	return try_retry(dsp, start, result->seq) ||
+	       job_unknown(start->job, start->task, result->seq, now_ms);
 }
 
 /*
- * Takes the outcome of a start.  One that belongs to no open start of this
- * agent is late or a duplicate, and is dropped.
+ * Records the outcome of a start.  An outcome that matches no start in progress
+ * at this agent is late or a duplicate, and is dropped.
  */
 void
 dsp_outcome(struct dispatch *dsp, void *agent, const wire_result *result,
     int64_t now_ms)
 {
-	struct out *out = g_hash_table_lookup(dsp->outs, &result->seq);
+	struct open_start *start =
+	    g_hash_table_lookup(dsp->open_starts, &result->seq);
 	struct place_task need;
 	enum job_state before;
-	struct djob *dj;
-	struct out copy;
+	struct dsp_job *dj;
+	struct open_start copy;
 
-	if (out == NULL || out->agent != agent) {
+	if (start == NULL || start->agent != agent) {
 		(*dsp->dropped)++;
 		return;
 	}
-	copy = *out;
+	copy = *start;
 	job_ref(copy.job);
-	g_hash_table_remove(dsp->outs, &result->seq);
+	g_hash_table_remove(dsp->open_starts, &result->seq);
 	task_need(copy.job, copy.task, &need);
 	pool_outcome(
 	    dsp->opts.pool, agent, copy.place_id, &need, result, now_ms);
@@ -546,14 +560,12 @@
 	dsp->opts.wake(dsp->opts.ctx);
 }
 
-/* Returns the seq of the next start. */
 uint64_t
 dsp_next_seq(const struct dispatch *dsp)
 {
 	return dsp->next_seq;
 }
 
-/* Returns the number of tasks of a service that wait here. */
 uint32_t
 dsp_waiting(const struct dispatch *dsp, const char *service)
 {
@@ -562,9 +574,8 @@
 	return queue == NULL ? 0 : queue->waiting;
 }
 
-/* Returns the number of starts without an outcome. */
 uint32_t
 dsp_outstanding(const struct dispatch *dsp)
 {
-	return g_hash_table_size(dsp->outs);
+	return g_hash_table_size(dsp->open_starts);
 }
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -13,8 +13,8 @@
 #include "version/fresh.h"
 
 /*
- * Queues of tasks per service and their way to the agents.  Holds no sockets;
- * an agent is an opaque pointer that the callbacks understand.
+ * Queues tasks per service and sends them to agents.  Holds no sockets; an
+ * agent is an opaque pointer that is passed to the callbacks.
  */
 struct dispatch;
 
@@ -24,15 +24,15 @@
 	const struct fresh *fresh;
 	struct retry *retry;
 	struct ctr_registry *counters;
-	uint32_t max_outstanding; /* starts without outcome, all agents */
+	uint32_t max_outstanding; /* starts without an outcome, at all agents */
 	int64_t grace_ms; /* a failing job waits this long for outcomes */
-	/* Returns false when nothing was sent, not even in part. */
+	/* Returns false only when no part of the message was sent. */
 	bool (*start)(
 	    void *agent, const wire_start *starts, size_t n, void *ctx);
 	void (*withdraw)(
 	    void *agent, const uint64_t *seqs, size_t n, void *ctx);
 	void (*wake)(void *ctx); /* asks for dsp_run() soon */
-	/* A job has ended; runs once for each submitted job. */
+	/* Runs once for each submitted job, when it is finished. */
 	void (*ended)(struct job *job, void *ctx);
 	void *ctx;
 };
@@ -42,14 +42,14 @@
 
 void dsp_submit(struct dispatch *dsp, struct job *job);
 void dsp_cancel(struct dispatch *dsp, struct job *job, int64_t now_ms);
-/* Places what can be placed now. */
+/* Sends waiting tasks to agents that can take them now. */
 void dsp_run(struct dispatch *dsp, int64_t now_ms);
-/* Ends jobs whose deadline or grace period has passed. */
+/* Ends jobs whose deadline or grace period has passed, then places tasks. */
 void dsp_tick(struct dispatch *dsp, int64_t now_ms);
 
 void dsp_outcome(struct dispatch *dsp, void *agent, const wire_result *result,
     int64_t now_ms);
-/* Every start from now on has this seq or a higher one. */
+/* Every later start has this seq or a higher one. */
 uint64_t dsp_next_seq(const struct dispatch *dsp);
 uint32_t dsp_waiting(const struct dispatch *dsp, const char *service);
 uint32_t dsp_outstanding(const struct dispatch *dsp);
--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -4,19 +4,19 @@
 #include "eject.h"
 
 #define WINDOW		20U /* starts that count as recent */
-#define MIN_STARTS	5U  /* fewer say too little about a worker */
+#define MIN_STARTS	5U  /* fewer say too little to eject a worker */
 #define MIN_INTERVAL_MS 1000
 #define MAX_INTERVAL_MS 30000
 
 struct worker {
 	char *service;
-	uint32_t outcomes; /* latest WINDOW outcomes, 1: failed */
-	uint32_t known;	   /* bits of outcomes in use */
+	uint32_t outcomes; /* latest WINDOW outcomes, one bit each, 1: failed */
+	uint32_t n_outcomes; /* number of bits in use */
 	bool ejected;
 	bool probing;
-	uint32_t outstanding; /* starts sent before the ejection */
-	int64_t until_ms;
-	int64_t interval_ms; /* next interval */
+	uint32_t outstanding; /* starts without an outcome */
+	int64_t ejected_until_ms;
+	int64_t interval_ms; /* length of the next ejection */
 };
 
 struct eject {
@@ -64,7 +64,7 @@
 {
 	guint failed = (guint)__builtin_popcount(w->outcomes);
 
-	return w->known >= MIN_STARTS && failed * 2 >= w->known;
+	return w->n_outcomes >= MIN_STARTS && failed * 2 >= w->n_outcomes;
 }
 
 static void
@@ -72,7 +72,7 @@
 {
 	w->ejected = true;
 	w->probing = false;
-	w->until_ms = now_ms + w->interval_ms;
+	w->ejected_until_ms = now_ms + w->interval_ms;
 	w->interval_ms = MIN(w->interval_ms * 2, MAX_INTERVAL_MS);
 }
 
@@ -82,17 +82,17 @@
 	w->ejected = false;
 	w->probing = false;
 	w->outcomes = 0;
-	w->known = 0;
+	w->n_outcomes = 0;
 }
 
 static void
-record(struct worker *w, bool failed)
+record_outcome(struct worker *w, bool failed)
 {
 	w->outcomes =
 	    ((w->outcomes << 1) | (failed ? 1 : 0)) & ((1U << WINDOW) - 1);
-	w->known = MIN(w->known + 1, WINDOW);
-	/* A full window of successes ends the doubling of the interval. */
-	if (w->known == WINDOW && w->outcomes == 0)
+	w->n_outcomes = MIN(w->n_outcomes + 1, WINDOW);
+	/* A full window of successes resets the length of the next ejection. */
+	if (w->n_outcomes == WINDOW && w->outcomes == 0)
 		w->interval_ms = MIN_INTERVAL_MS;
 }
 
@@ -115,7 +115,6 @@
 	g_free(eject);
 }
 
-/* Adds a worker that may get work. */
 void
 ej_add(struct eject *eject, uint32_t id, const char *service)
 {
@@ -133,7 +132,7 @@
 }
 
 /*
- * Takes the outcome of a start.  While a worker is ejected only the outcome
+ * Records the outcome of a start.  While a worker is ejected only the outcome
  * of its probe counts; those of earlier starts are ignored.
  */
 void
@@ -146,7 +145,7 @@
 	if (w->outstanding > 0)
 		w->outstanding--;
 	if (!w->ejected) {
-		record(w, failed);
+		record_outcome(w, failed);
 		if (mostly_fails(w) && may_eject(eject, w->service))
 			eject_until(w, now_ms);
 		return;
@@ -167,11 +166,11 @@
 	if (w == NULL)
 		return;
 	w->outstanding++;
-	if (w->ejected && now_ms >= w->until_ms)
+	if (w->ejected && now_ms >= w->ejected_until_ms)
 		w->probing = true;
 }
 
-/* Takes back a start; the next one may be the probe. */
+/* The next start may be the probe again. */
 void
 ej_not_started(struct eject *eject, uint32_t id)
 {
@@ -185,7 +184,10 @@
 		w->probing = false;
 }
 
-/* The probe waits for earlier starts, so that its outcome is its own. */
+/*
+ * An ejected worker gets its probe only when all earlier starts have an
+ * outcome, so that the next outcome is that of the probe.
+ */
 bool
 ej_may_start(const struct eject *eject, uint32_t id, int64_t now_ms)
 {
@@ -193,7 +195,8 @@
 
 	if (w == NULL || !w->ejected)
 		return true;
-	return !w->probing && w->outstanding == 0 && now_ms >= w->until_ms;
+	return !w->probing && w->outstanding == 0 &&
+	       now_ms >= w->ejected_until_ms;
 }
 
 bool
@@ -204,9 +207,8 @@
 	return w != NULL && w->ejected;
 }
 
-/* Returns when the caller should ask ej_may_start() again. */
 int64_t
-ej_next_ms(const struct eject *eject, int64_t now_ms)
+ej_next_probe_ms(const struct eject *eject, int64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -216,9 +218,9 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct worker *w = value;
 
-		if (w->ejected && w->until_ms > now_ms &&
-		    (next_ms < 0 || w->until_ms < next_ms))
-			next_ms = w->until_ms;
+		if (w->ejected && w->ejected_until_ms > now_ms &&
+		    (next_ms < 0 || w->ejected_until_ms < next_ms))
+			next_ms = w->ejected_until_ms;
 	}
 	return next_ms;
 }
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -3,20 +3,25 @@
 
 #include "estimate.h"
 
-/* Used until the first task of a service has been measured or declared. */
+/*
+ * Used for a task without declared run time until one of its service was
+ * measured.
+ */
 #define DEFAULT_RUN_US 200000.0
 /*
- * Weight of a new sample.  Run times vary by about their own mean, so 1/64
- * leaves an error of about a tenth in a speed.
+ * Weight of a new sample in a mean.  Run times vary by about their own mean, so
+ * 1/64 leaves an error of about a tenth in a worker's speed.
  */
 #define SAMPLE_WEIGHT (1.0 / 64)
-/* Declared times are off by up to 10 times, so their weight needs more. */
+/*
+ * Declared times are off by up to 10 times, so their means take more samples.
+ */
 #define DECLARED_WEIGHT (1.0 / 1024)
-/* Samples before declared times are used beside measured ones. */
-#define MIN_DECLARED 32U
-#define MIN_VARIANCE 1e-6
-/* A worker's speed counts half as much as the mean with this many samples. */
-#define PRIOR_SAMPLES 4.0
+/* Number of samples from which on declared times are used. */
+#define MIN_DECLARED_SAMPLES 32U
+#define MIN_VARIANCE	     1e-6
+/* With this many samples a worker's measured speed gets half the weight. */
+#define SPEED_PRIOR_SAMPLES 4.0
 
 static void
 add(struct est_mean *mean, double value, double min_weight)
@@ -41,7 +46,7 @@
 	double n = (double)worker->log_run.samples;
 
 	return (worker->log_run.value - service->log_run.value) * n /
-	       (n + PRIOR_SAMPLES);
+	       (n + SPEED_PRIOR_SAMPLES);
 }
 
 static void
@@ -55,16 +60,17 @@
 }
 
 /*
- * How much a task's declared time changes its expected run time: a factor
- * near 1 when declared times say little, and their full ratio to the mean
- * declared time when they are right.
+ * Factor on the expected run time of a task with this declared time: near 1
+ * while declared times do not predict measured ones, and the full ratio to the
+ * mean declared time when they do.
  */
 static double
 declared_factor(const struct est_service *service, int64_t declared_ms)
 {
 	double slope;
 
-	if (declared_ms <= 0 || service->variance.samples < MIN_DECLARED ||
+	if (declared_ms <= 0 ||
+	    service->variance.samples < MIN_DECLARED_SAMPLES ||
 	    service->variance.value < MIN_VARIANCE)
 		return 1;
 	slope = service->covariance.value / service->variance.value;
@@ -87,7 +93,7 @@
 }
 
 bool
-est_is_short(const struct est_worker *worker, int64_t run_us)
+est_is_below_mean(const struct est_worker *worker, int64_t run_us)
 {
 	return worker->log_run.samples == 0 ||
 	       log_us(run_us) < worker->log_run.value;
--- a/src/request/estimate.h
+++ b/src/request/estimate.h
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Expected run times from measured ones.  Plain data, zero-initialised. */
+/* Estimates of run times from measured ones.  Plain data, zero-initialised. */
 struct est_mean {
 	double value;
 	uint64_t samples;
@@ -13,7 +13,7 @@
 struct est_service {
 	struct est_mean run_us;
 	struct est_mean log_run; /* natural logarithm of the run time in us */
-	/* Regression of log_run on the logarithm of the declared time. */
+	/* Regression of log_run on the logarithm of the declared run time. */
 	struct est_mean log_declared;
 	struct est_mean variance;
 	struct est_mean covariance;
@@ -23,12 +23,12 @@
 	struct est_mean log_run;
 };
 
-/* declared_ms 0: not declared. */
+/* Records a measured run time; declared_ms 0: not declared. */
 void est_measure(struct est_service *service, struct est_worker *worker,
     int64_t run_us, int64_t declared_ms);
-/* Whether a run time is below what the worker usually needs. */
-bool est_is_short(const struct est_worker *worker, int64_t run_us);
-/* Expected run time on a worker, or on the mean worker when it is NULL. */
+/* Whether a run time is below the worker's mean. */
+bool est_is_below_mean(const struct est_worker *worker, int64_t run_us);
+/* Expected run time on a worker, or on an average one when worker is NULL. */
 double est_run_us(const struct est_service *service,
     const struct est_worker *worker, int64_t declared_ms);
 
--- a/src/request/jobtask.c
+++ b/src/request/jobtask.c
@@ -20,8 +20,8 @@
 	for (i = 0; i < job->spec->n_steps; i++) {
 		const struct wk_step *step = &job->spec->steps[i];
 
-		job->steps[i].left = step->count;
-		job->steps[i].blocked = step->n_after;
+		job->steps[i].n_left = step->count;
+		job->steps[i].n_blocking = step->n_after;
 		for (j = 0; j < step->count; j++) {
 			job->tasks[n].job = job;
 			job->tasks[n].step = i;
@@ -30,7 +30,7 @@
 		}
 	}
 	for (i = 0; i < job->spec->n_steps; i++) {
-		if (job->steps[i].blocked == 0)
+		if (job->steps[i].n_blocking == 0)
 			make_ready(job, i);
 	}
 }
@@ -75,26 +75,27 @@
 
 		for (j = 0; j < step->n_after; j++) {
 			if (step->after[j] == done &&
-			    --job->steps[i].blocked == 0)
+			    --job->steps[i].n_blocking == 0)
 				make_ready(job, i);
 		}
 	}
 }
 
 bool
-jt_done(struct jt_task *task)
+jt_mark_done(struct jt_task *task)
 {
 	struct jt_job *job = task->job;
 
 	task->state = JT_DONE;
 	job->n_left--;
-	if (--job->steps[task->step].left == 0)
+	if (--job->steps[task->step].n_left == 0)
 		step_done(job, task->step);
 	return job->n_left == 0;
 }
 
 uint32_t
-jt_sent_to(const struct jt_job *job, uint32_t step, const struct wks_worker *w)
+jt_n_sent_to(
+    const struct jt_job *job, uint32_t step, const struct wks_worker *w)
 {
 	uint32_t i, n = 0;
 
@@ -141,7 +142,7 @@
 	return false;
 }
 
-/* Remembers the first few workers only. */
+/* Remembers the first JT_MAX_FAILED_ON workers only. */
 void
 jt_remember_failed_on(struct jt_task *task, struct wks_worker *w)
 {
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -6,13 +6,16 @@
 #include "place.h"
 
 /*
- * An entry learns at once of its own tasks that end, but of others' only with
- * the next heartbeat.  Without a report their number falls by this share in a
- * run time; 0 left slots idle and 0.3 and more let queues grow at workers.
+ * Exponential decay, per mean run time, of the load that other entries put on a
+ * worker.  An entry sees their tasks end only with the worker's next heartbeat.
+ * 0 left slots idle, and 0.3 and more let queues grow at workers.
  */
-#define OTHERS_DECAY 0.15
-/* Preference for local workers when a little later is good enough. */
-#define REMOTE_COST 1.1
+#define OTHERS_DECAY_PER_RUN 0.15
+/*
+ * Factor on the expected finish time of workers that are not local, when local
+ * ones are preferred.
+ */
+#define REMOTE_FINISH_FACTOR 1.1
 
 struct service {
 	char *name;
@@ -29,11 +32,11 @@
 	uint32_t cores;
 	uint64_t memory_mb;
 	uint32_t reported; /* busy and queued in the last report */
-	uint32_t unseen;   /* own dispatches that the report left out */
+	uint32_t unseen;   /* own dispatches that the report omits */
 	uint32_t own;	   /* own dispatches that have not finished */
-	uint32_t reserved; /* slots that waiting tasks of this pass need */
+	uint32_t reserved; /* by tasks of this pass that wait for a slot */
 	int64_t report_ms;
-	int64_t progress_ms; /* last known end of a task */
+	int64_t progress_ms; /* when a task was last known to end */
 	struct est_worker estimate;
 	struct service *service;
 };
@@ -44,7 +47,7 @@
 	uint32_t ahead;
 	bool prefer_local;
 	bool in_pass;
-	int64_t now_ms; /* of the current choice */
+	int64_t now_ms; /* of the latest call */
 	uint64_t random;
 	uint32_t next_id;
 	GHashTable *services; /* name to struct service */
@@ -83,7 +86,7 @@
 }
 
 static struct service *
-make_service(struct place *place, const char *name)
+get_service(struct place *place, const char *name)
 {
 	struct service *service = find_service(place, name);
 
@@ -96,7 +99,9 @@
 	return service;
 }
 
-/* task NULL: a task of mean length. */
+/*
+ * Expected run time of the task, or of a task of mean length when it is NULL.
+ */
 static double
 worker_run_us(const struct worker *w, const struct place_task *task)
 {
@@ -104,7 +109,10 @@
 	    task == NULL ? 0 : task->declared_ms);
 }
 
-/* As reported, plus own dispatches since, less what others' tasks lost. */
+/*
+ * Tasks at the worker: the reported load plus own dispatches since, with the
+ * part of other entries reduced by OTHERS_DECAY_PER_RUN.
+ */
 static uint32_t
 load_of(const struct place *place, const struct worker *w)
 {
@@ -114,7 +122,7 @@
 
 	if (others <= 0 || age_us <= 0)
 		return all;
-	others *= exp(-OTHERS_DECAY * age_us / worker_run_us(w, NULL));
+	others *= exp(-OTHERS_DECAY_PER_RUN * age_us / worker_run_us(w, NULL));
 	return w->own + (uint32_t)lround(others);
 }
 
@@ -143,17 +151,19 @@
 }
 
 /*
- * Time between two ends of tasks at a busy worker.  One that has ended none
- * for a mean run time is expected to take as long again, so that no task
- * waits for a worker that hangs.
+ * Expected time between two completions at a busy worker.  When none was seen
+ * for more than a mean run time, the next is expected after as long again, so
+ * that no task waits for a worker that hangs.
  */
 static double
 slot_gap_us(const struct place *place, const struct worker *w)
 {
 	double run_us = worker_run_us(w, NULL);
-	double quiet_us = (double)(place->now_ms - w->progress_ms) * 1000;
+	double since_progress_us =
+	    (double)(place->now_ms - w->progress_ms) * 1000;
 
-	return quiet_us > run_us ? quiet_us : run_us / w->slots;
+	return since_progress_us > run_us ? since_progress_us
+					  : run_us / w->slots;
 }
 
 static double
@@ -168,7 +178,7 @@
 	return run_us + slot_gap_us(place, w) * (load - w->slots + 1);
 }
 
-/* Smaller is better; compared only within one choice. */
+/* Smaller is better; values are comparable only within one choice. */
 static double
 cost_of(const struct place *place, const struct worker *w,
     const struct place_task *task)
@@ -187,8 +197,9 @@
 }
 
 /*
- * The worker that is expected to finish the task first, busy or not.  When
- * it has no room the task waits for it and reserves a slot of it.
+ * Returns the worker that is expected to finish the task first, busy or not. If
+ * it can't take the task now, the task reserves one of its slots and PLACE_NONE
+ * is returned.
  */
 static uint32_t
 earliest_finish(struct place *place, const struct service *service,
@@ -209,7 +220,7 @@
 			continue;
 		us = expected_finish_us(place, w, task);
 		if (place->prefer_local && !w->local)
-			us *= REMOTE_COST;
+			us *= REMOTE_FINISH_FACTOR;
 		if (us < best_us) {
 			best = w;
 			best_us = us;
@@ -223,7 +234,10 @@
 	return PLACE_NONE;
 }
 
-/* Workers that can take the task now; only local ones when asked for. */
+/*
+ * Workers that can take the task now; with local_only only local ones that have
+ * a free slot.
+ */
 static GPtrArray *
 candidates(const struct place *place, const struct service *service,
     const struct place_task *task, bool local_only)
@@ -248,7 +262,7 @@
 	    from, random_below(place, from->len));
 }
 
-/* The cheapest of a random sample; equal costs are decided by the order. */
+/* Returns the cheapest of a random sample; the first drawn wins a tie. */
 static struct worker *
 cheapest(struct place *place, GPtrArray *from, guint sample,
     const struct place_task *task)
@@ -284,7 +298,7 @@
 	return from->len;
 }
 
-/* Reads the name of a policy as the settings write it. */
+/* Parses the name of a policy as written in the settings. */
 bool
 place_policy_parse(const char *name, enum place_policy *policy)
 {
@@ -304,7 +318,6 @@
 	return false;
 }
 
-/* Makes an empty set of workers. */
 struct place *
 place_new(const struct place_options *opts)
 {
@@ -314,7 +327,10 @@
 	place->failure_domain = g_strdup(opts->failure_domain);
 	place->ahead = opts->ahead;
 	place->prefer_local = opts->prefer_local;
-	/* An odd multiplier spreads small seeds; the state must not be 0. */
+	/*
+	 * Seed of xorshift64: an odd multiplier spreads small seeds, and the
+	 * state must not be 0.
+	 */
 	place->random = (opts->seed + 1ULL) * 0x9e3779b97f4a7c15ULL;
 	place->services =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, service_free);
@@ -350,13 +366,13 @@
 	w->memory_mb = worker->memory_mb;
 	w->report_ms = now_ms - 1;
 	w->progress_ms = now_ms;
-	w->service = make_service(place, worker->service);
+	w->service = get_service(place, worker->service);
 	g_ptr_array_add(w->service->workers, w);
 	g_hash_table_insert(place->workers, GUINT_TO_POINTER(w->id), w);
 	return w->id;
 }
 
-/* Forgets a worker.  An id that is no longer known is ignored everywhere. */
+/* Removes a worker.  All functions ignore the id of a removed worker. */
 void
 place_remove(struct place *place, uint32_t id)
 {
@@ -368,10 +384,6 @@
 	g_hash_table_remove(place->workers, GUINT_TO_POINTER(id));
 }
 
-/*
- * Takes the load that a worker reported.  outstanding counts this entry's
- * dispatches that are not yet in that load.
- */
 void
 place_report(struct place *place, uint32_t id, const struct place_load *load,
     uint32_t outstanding, int64_t now_ms)
@@ -436,8 +448,8 @@
 }
 
 /*
- * Returns the worker that the policy prefers among those with room.  The
- * caller reports the dispatch with place_dispatched().
+ * Returns the worker that the policy prefers among those that can take the
+ * task.  The caller reports the dispatch with place_dispatched().
  */
 uint32_t
 place_choose(struct place *place, const struct place_task *task, int64_t now_ms)
@@ -449,7 +461,7 @@
 	place->now_ms = now_ms;
 	if (service == NULL)
 		return PLACE_NONE;
-	/* Outside a pass a waiting task would block those behind it. */
+	/* Outside a pass, tasks behind one that waits are not tried. */
 	if (place->policy == PLACE_EARLIEST_FINISH && place->in_pass)
 		return earliest_finish(place, service, task);
 	if (place->prefer_local) {
@@ -507,21 +519,24 @@
 	w->unseen++;
 }
 
-/* A failure counts as a run only when it took longer than the mean. */
+/*
+ * Ignores the run time of a failed task unless it reached the worker's mean,
+ * since a worker that fails quickly would look fast.
+ */
 static void
 measure(struct worker *w, const struct place_task *task,
     enum place_outcome outcome, int64_t run_us)
 {
-	if (outcome == PLACE_FAILED && est_is_short(&w->estimate, run_us))
+	if (outcome == PLACE_FAILED && est_is_below_mean(&w->estimate, run_us))
 		return;
 	est_measure(
 	    &w->service->estimate, &w->estimate, run_us, task->declared_ms);
 }
 
 /*
- * Takes the end of a dispatch.  run_us is the run time at the worker.  The
- * load falls by one, except when a report at the same now_ms already left
- * the task out, so results and load of one message may come in either order.
+ * Records the end of a dispatch; run_us is the run time at the worker.  The
+ * load falls by one, unless a report with the same now_ms already left the task
+ * out, so the results and the load of one message may be given in either order.
  */
 void
 place_finished(struct place *place, uint32_t id, const struct place_task *task,
@@ -545,8 +560,8 @@
 }
 
 /*
- * Returns the time until a task behind "waiting" others would start, from
- * the measured rate of all usable workers.
+ * Returns the time until a task behind "waiting" others would start, from the
+ * measured run times of all usable workers.
  */
 int64_t
 place_expected_wait_ms(const struct place *place, const char *service_name,
--- a/src/request/place.h
+++ b/src/request/place.h
@@ -5,9 +5,9 @@
 #include <stdint.h>
 
 /*
- * Choice of a worker for a task, from loads reported by the workers, the
- * entry's own dispatches since, and measured run times.  Holds no sockets and
- * reads no clock.
+ * Chooses a worker for a task from the loads that workers report, the entry's
+ * own dispatches since those reports, and measured run times.  Holds no sockets
+ * and reads no clock.
  */
 struct place;
 
@@ -18,7 +18,9 @@
 	PLACE_LEAST_OUTSTANDING,
 	PLACE_TWO_CHOICES,
 	PLACE_LEAST_WAIT,
-	/* May wait for a faster worker; least wait outside a pass. */
+	/*
+	 * A task may wait for a faster worker; outside a pass like least wait.
+	 */
 	PLACE_EARLIEST_FINISH
 };
 
@@ -62,34 +64,35 @@
 uint32_t place_add(
     struct place *place, const struct place_worker *worker, int64_t now_ms);
 void place_remove(struct place *place, uint32_t id);
-/* outstanding: this entry's dispatches that the worker had not yet seen. */
+/* outstanding: dispatches of this entry that the load does not include. */
 void place_report(struct place *place, uint32_t id,
     const struct place_load *load, uint32_t outstanding, int64_t now_ms);
 /* An unusable worker (out, stale, disconnected) gets no work. */
 void place_set_usable(struct place *place, uint32_t id, bool usable);
 
 /*
- * Starts a pass over the queued tasks of a service, in their order.  Within
- * a pass, a task for which place_choose() returns PLACE_NONE reserves the
- * worker that it waits for, and later tasks may still be placed; the pass ends
- * when place_has_room() is false or after PLACE_PASS_TASKS such tasks.
+ * Starts a pass over the queued tasks of a service, in their order.  Within a
+ * pass, a task for which place_choose() returns PLACE_NONE reserves a slot of
+ * the worker that it waits for, and later tasks may still be placed.  The
+ * caller ends the pass when place_has_room() is false or when PLACE_PASS_TASKS
+ * tasks were not placed.
  */
 #define PLACE_PASS_TASKS 64U
 void place_begin_pass(struct place *place, int64_t now_ms);
 /* Whether any worker of the service can take a task now. */
 bool place_has_room(const struct place *place, const char *service);
 /*
- * Expected run time of a task on the mean worker.  The tasks of a job are
+ * Expected run time of a task on an average worker.  The tasks of a job are
  * queued in falling order of it.
  */
 int64_t place_expected_run_us(
     const struct place *place, const struct place_task *task);
-/* PLACE_NONE: no worker can take the task now; it waits at the entry. */
+/* Returns PLACE_NONE when no worker can take the task now. */
 uint32_t place_choose(
     struct place *place, const struct place_task *task, int64_t now_ms);
-/* Whether any worker that may get work, busy or not, could run the task. */
+/* Whether the task fits any worker that may get work, busy or not. */
 bool place_fits_live(const struct place *place, const struct place_task *task);
-/* Whether any worker, usable or not, could ever run the task. */
+/* Whether the task fits any known worker, usable or not. */
 bool place_can_ever_run(
     const struct place *place, const struct place_task *task);
 void place_dispatched(struct place *place, uint32_t id,
@@ -104,7 +107,7 @@
     const struct place_task *task, enum place_outcome outcome, int64_t run_us,
     int64_t now_ms);
 
-/* Expected wait of a new task before it starts; -1 with no usable worker. */
+/* Expected wait of a new task before its start; -1 without a usable worker. */
 int64_t place_expected_wait_ms(const struct place *place, const char *service,
     uint32_t waiting, int64_t now_ms);
 uint32_t place_free_slots(const struct place *place, const char *service);
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -5,33 +5,42 @@
 #include "request/jobtask.h"
 #include "request/sched.h"
 
-/* Starts sent without a proof of failure; bounds a task that never ends. */
-#define MAX_SENDS 12
-/* Tasks without a place that a pass looks at before it stops. */
-#define MAX_MISSES 64
-/* Preference for workers in the own failure domain. */
-#define REMOTE_COST 1.04
-/* A failing worker costs as much as so many runs at failure rate 1. */
-#define FAILURE_COST 20.0
-/* After the start of the process jobs wait until workers can have reported. */
-#define STARTUP_MS 3000
-/* An answer later than so many objectives is worth nothing to its caller. */
-#define USEFUL_OBJECTIVES 3
+/*
+ * Starts of a task, whatever their outcomes, after which its job is ended, so
+ * that a task that is lost or refused every time is not sent for ever.
+ */
+#define MAX_STARTS_PER_TASK 12
+/* A pass stops after this many tasks that found no worker. */
+#define MAX_UNPLACED_TASKS 64
+/* Cost factor of a worker outside the entry's failure domain. */
+#define REMOTE_COST_FACTOR 1.04
+/* Cost of a worker with failure rate 1, in run times of the task. */
+#define FAILURE_COST_RUNS 20.0
+/*
+ * For this long after the start of the process a job is accepted although no
+ * worker of its service was described yet.
+ */
+#define STARTUP_GRACE_MS 3000
+/*
+ * An answer later than this multiple of the job's response-time objective is of
+ * no use to its caller.
+ */
+#define MAX_USEFUL_OBJECTIVES 3
 struct sch {
 	struct sch_options opts;
 	struct wks *workers;
 	GHashTable *jobs;	  /* id to struct jt_job */
 	GHashTable *sent;	  /* seq to struct jt_task */
-	GHashTable *unresolved;	  /* struct jt_task as key */
+	GHashTable *unresolved;	  /* set of struct jt_task */
 	GHashTable *queue_speeds; /* queue name to struct spd_queue */
-	GTree *lists;		  /* priority to GQueue of jobs */
+	GTree *lists;		  /* priority to GQueue of struct jt_job */
 	uint64_t next_seq;
-	int64_t first_ms; /* of the clock, 0: not read yet */
-	bool waiting;	  /* a task may be ready */
+	int64_t first_ms; /* time of the first call, 0: none yet */
+	bool waiting;	  /* a task may be ready to be sent */
 };
 
 static gint
-by_priority(gconstpointer a, gconstpointer b, gpointer data)
+compare_priorities(gconstpointer a, gconstpointer b, gpointer data)
 {
 	guint left = GPOINTER_TO_UINT(a), right = GPOINTER_TO_UINT(b);
 
@@ -64,7 +73,7 @@
 	sch->unresolved = g_hash_table_new(NULL, NULL);
 	sch->queue_speeds =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	sch->lists = g_tree_new_full(by_priority, NULL, NULL, list_free);
+	sch->lists = g_tree_new_full(compare_priorities, NULL, NULL, list_free);
 	return sch;
 }
 
@@ -115,14 +124,14 @@
 }
 
 static void
-unsend(struct sch *sch, struct jt_task *task)
+forget_start(struct sch *sch, struct jt_task *task)
 {
 	if (g_hash_table_remove(sch->sent, &task->seq) && task->worker != NULL)
 		task->worker->open--;
 	g_hash_table_remove(sch->unresolved, task);
 }
 
-/* Withdraws what is open and frees the job. */
+/* Cancels the starts in progress and frees the job. */
 static void
 drop_job(struct sch *sch, struct jt_job *job)
 {
@@ -135,7 +144,7 @@
 			sch->opts.cancel(
 			    task->worker->link, task->seq, sch->opts.ctx);
 		if (task->state == JT_SENT || task->state == JT_UNRESOLVED)
-			unsend(sch, task);
+			forget_start(sch, task);
 	}
 	g_queue_unlink(list_of(sch, job->priority), &job->link);
 	g_hash_table_remove(sch->jobs, job->spec->id);
@@ -152,9 +161,9 @@
 }
 
 static void
-lose_task(struct sch *sch, struct jt_task *task, int64_t now_ms)
+mark_unresolved(struct sch *sch, struct jt_task *task, int64_t now_ms)
 {
-	unsend(sch, task);
+	forget_start(sch, task);
 	task->state = JT_UNRESOLVED;
 	task->worker = NULL;
 	task->resolved_ms = now_ms + sch->opts.resolve_ms;
@@ -162,7 +171,8 @@
 }
 
 static void
-lose_tasks(struct sch *sch, const struct wks_worker *w, int64_t now_ms)
+mark_worker_unresolved(
+    struct sch *sch, const struct wks_worker *w, int64_t now_ms)
 {
 	g_autoptr(GList) tasks = g_hash_table_get_values(sch->sent);
 	GList *l;
@@ -171,7 +181,7 @@
 		struct jt_task *task = l->data;
 
 		if (task->worker == w)
-			lose_task(sch, task, now_ms);
+			mark_unresolved(sch, task, now_ms);
 	}
 }
 
@@ -180,7 +190,7 @@
 {
 	w->described = false;
 	w->accepting = false;
-	lose_tasks(sch, w, now_ms);
+	mark_worker_unresolved(sch, w, now_ms);
 }
 
 void
@@ -189,7 +199,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	lose_tasks(sch, w, now_ms);
+	mark_worker_unresolved(sch, w, now_ms);
 	g_hash_table_iter_init(&iter, sch->jobs);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		jt_forget_worker(value, w);
@@ -202,7 +212,10 @@
 	return &task->job->spec->steps[task->step];
 }
 
-/* Expected time to a good end of the task on the worker. */
+/*
+ * Expected time until the worker completes the task, raised by the risk that it
+ * fails there.
+ */
 static double
 cost_of(const struct sch *sch, const struct wks_worker *w,
     const struct jt_task *task, int64_t now_ms)
@@ -214,10 +227,10 @@
 	if (step->preferred_rack != NULL &&
 	    !wks_has_label(w, step->preferred_rack))
 		cost *= sch->opts.cross_rack_factor;
-	cost *= 1 + FAILURE_COST * hlt_failure_rate(&w->health, now_ms);
+	cost *= 1 + FAILURE_COST_RUNS * hlt_failure_rate(&w->health, now_ms);
 	if (jt_has_failed_on(task, w))
-		cost *= 1 + FAILURE_COST;
-	return w->local ? cost : cost * REMOTE_COST;
+		cost *= 1 + FAILURE_COST_RUNS;
+	return w->local ? cost : cost * REMOTE_COST_FACTOR;
 }
 
 static struct wks_worker *
@@ -238,7 +251,7 @@
 		    !hlt_may_start(&w->health, w->open, now_ms))
 			continue;
 		if (step->max_per_worker > 0 &&
-		    jt_sent_to(task->job, task->step, w) >=
+		    jt_n_sent_to(task->job, task->step, w) >=
 			step->max_per_worker)
 			continue;
 		cost = cost_of(sch, w, task, now_ms);
@@ -251,8 +264,9 @@
 }
 
 /*
- * Estimates are often far off: a task that was too slow once is likely to be
- * long, and must not be stopped on one worker after the other.
+ * Estimates are often far off.  A task that was stopped once as too slow is
+ * probably a long one, so its projected run time is expected on every worker;
+ * otherwise each would stop it again.
  */
 static int64_t
 expected_ms(const struct jt_task *task, const struct wks_worker *w)
@@ -298,34 +312,36 @@
 	return true;
 }
 
-/* One pass over the waiting tasks. */
+/* State of one pass over the ready tasks. */
 struct pass {
 	struct sch *sch;
 	int64_t now_ms;
-	uint32_t misses;
-	const struct jt_task
-	    *missed; /* smallest task that any worker could take */
+	uint32_t n_unplaced;
+	const struct jt_task *smallest; /* unplaced, without other limits */
 };
 
-/* A task found no worker that asked no more of one than this task does. */
+/*
+ * Whether a task of the service that needs no more than this one has found no
+ * worker in this pass.
+ */
 static bool
-must_miss(const struct pass *pass, const struct jt_task *task)
+has_no_worker(const struct pass *pass, const struct jt_task *task)
 {
-	return pass->missed != NULL &&
-	       strcmp(pass->missed->job->service, task->job->service) == 0 &&
-	       wk_fits(&step_of(pass->missed)->size, &step_of(task)->size);
+	return pass->smallest != NULL &&
+	       strcmp(pass->smallest->job->service, task->job->service) == 0 &&
+	       wk_fits(&step_of(pass->smallest)->size, &step_of(task)->size);
 }
 
 static void
-note_miss(struct pass *pass, const struct jt_task *task)
+record_unplaced(struct pass *pass, const struct jt_task *task)
 {
 	const struct wk_step *step = step_of(task);
 
-	pass->misses++;
+	pass->n_unplaced++;
 	if (step->required_label == NULL && step->max_per_worker == 0 &&
-	    (pass->missed == NULL ||
-		wk_fits(&step->size, &step_of(pass->missed)->size)))
-		pass->missed = task;
+	    (pass->smallest == NULL ||
+		wk_fits(&step->size, &step_of(pass->smallest)->size)))
+		pass->smallest = task;
 }
 
 static void
@@ -333,16 +349,18 @@
 {
 	struct wks_worker *w = NULL;
 
-	if (must_miss(pass, task)) {
-		pass->misses++;
+	if (has_no_worker(pass, task)) {
+		pass->n_unplaced++;
 		return;
 	}
-	/* A link that takes nothing is out until its next report. */
+	/*
+	 * A worker whose link takes no start is skipped until its next report.
+	 */
 	while ((w = choose(pass->sch, task, pass->now_ms)) != NULL &&
 	       !send(pass->sch, task, w, pass->now_ms))
 		w->accepting = false;
 	if (w == NULL)
-		note_miss(pass, task);
+		record_unplaced(pass, task);
 }
 
 static void
@@ -350,15 +368,19 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < job->n_tasks && pass->misses < MAX_MISSES; i++) {
+	for (i = 0; i < job->n_tasks && pass->n_unplaced < MAX_UNPLACED_TASKS;
+	     i++) {
 		if (job->tasks[i].state == JT_READY)
 			place_task(pass, &job->tasks[i]);
 	}
 }
 
-/* Whether the job goes before those whose objective is missed already. */
+/*
+ * Whether the job goes before those that have missed their objective: it has
+ * begun, or can still be in time.
+ */
 static bool
-goes_first(const struct jt_job *job, int64_t now_ms)
+is_preferred(const struct jt_job *job, int64_t now_ms)
 {
 	return job->sent || now_ms <= job->start_by_ms;
 }
@@ -368,18 +390,18 @@
 {
 	GList *l;
 
-	for (l = list->head; l != NULL && pass->misses < MAX_MISSES;
+	for (l = list->head; l != NULL && pass->n_unplaced < MAX_UNPLACED_TASKS;
 	     l = l->next) {
 		struct jt_job *job = l->data;
 
-		if (goes_first(job, pass->now_ms) == first)
+		if (is_preferred(job, pass->now_ms) == first)
 			place_job(pass, job);
 	}
 }
 
 /*
- * In an overload that lasts, strict order of arrival would make every job
- * late; the jobs that can still be in time are, if the late ones wait.
+ * In a lasting overload, strict order of arrival would make every job late.
+ * With the late jobs last, the others still meet their objective.
  */
 static gboolean
 place_list(gpointer key, gpointer value, gpointer data)
@@ -389,7 +411,7 @@
 	(void)key;
 	place_jobs(pass, value, true);
 	place_jobs(pass, value, false);
-	return pass->misses >= MAX_MISSES;
+	return pass->n_unplaced >= MAX_UNPLACED_TASKS;
 }
 
 bool
@@ -405,7 +427,7 @@
 	size_t i;
 
 	g_tree_foreach(sch->lists, place_list, &pass);
-	sch->waiting = pass.misses > 0;
+	sch->waiting = pass.n_unplaced > 0;
 	for (i = 0; i < wks_count(sch->workers); i++) {
 		struct wks_worker *w = wks_get(sch->workers, i);
 
@@ -421,19 +443,22 @@
 {
 	if (task->job->spec->n_steps > 1)
 		sch->waiting = true; /* the next step may be ready */
-	if (jt_done(task))
+	if (jt_mark_done(task))
 		end_job(sch, task->job, SCH_COMPLETED, "");
 }
 
-/* Makes a task ready again, or ends its job. */
+/*
+ * Makes a task ready again, or ends its job when the task has used up its
+ * attempts or starts.
+ */
 static void
-task_again(struct sch *sch, struct jt_task *task, const char *reason)
+requeue_task(struct sch *sch, struct jt_task *task, const char *reason)
 {
 	task->state = JT_READY;
 	sch->waiting = true;
 	if (task->failures >= task->job->max_attempts)
 		end_job(sch, task->job, SCH_JOB_FAILED, reason);
-	else if (task->sends >= MAX_SENDS)
+	else if (task->sends >= MAX_STARTS_PER_TASK)
 		end_job(sch, task->job, SCH_BROKEN, reason);
 }
 
@@ -444,9 +469,12 @@
 	    step_of(task)->estimate_ms);
 }
 
-/* The tasks of one job count once, unless the worker is being probed. */
+/*
+ * Failures of several tasks of one job count once, since the job may be at
+ * fault; those of an ejected worker, which is being probed, all count.
+ */
 static void
-note_failure(struct jt_task *task, struct wks_worker *w, int64_t now_ms)
+record_failure(struct jt_task *task, struct wks_worker *w, int64_t now_ms)
 {
 	if (hlt_is_ejected(&w->health) || !jt_job_has_failed_on(task->job, w))
 		hlt_failed(&w->health, now_ms);
@@ -482,7 +510,7 @@
 	if (task == NULL)
 		return;
 	w = task->worker;
-	unsend(sch, task);
+	forget_start(sch, task);
 	task->worker = NULL;
 	switch (outcome) {
 	case SCH_DONE:
@@ -492,13 +520,13 @@
 		return;
 	case SCH_FAILED:
 		task->failures++;
-		note_failure(task, w, now_ms);
+		record_failure(task, w, now_ms);
 		break;
 	case SCH_STALLED:
 		task->projected_ms = MAX(task->projected_ms, run_ms);
 		if (run_ms > 0)
 			measure(task, w, run_ms);
-		note_failure(task, w, now_ms);
+		record_failure(task, w, now_ms);
 		break;
 	case SCH_LOST:
 		jt_remember_failed_on(task, w);
@@ -508,15 +536,15 @@
 		break;
 	}
 	report_failed_start(sch, task, w, outcome, reason);
-	task_again(sch, task, reason);
+	requeue_task(sch, task, reason);
 }
 
-/* Whether each step has a worker. */
+/* Checks that the service has a worker for each step. */
 static enum sch_verdict
 check_workers(const struct sch *sch, const char *service,
     const struct wk_job *spec, int64_t now_ms)
 {
-	bool starting = now_ms - sch->first_ms < STARTUP_MS;
+	bool starting = now_ms - sch->first_ms < STARTUP_GRACE_MS;
 	uint32_t i;
 
 	for (i = 0; i < spec->n_steps; i++) {
@@ -537,48 +565,49 @@
 	return SCH_ACCEPTED;
 }
 
-/* When answers to a request are worth what, from its arrival. */
-struct worth {
-	int64_t chain_ms;  /* expected run time, 0: not known */
-	int64_t start_ms;  /* in full, if its tasks are sent by then */
-	int64_t useful_ms; /* nothing later than this */
+/* Time limits of a request, counted from its arrival. */
+struct limits {
+	int64_t critical_path_ms; /* expected run time, 0: unknown */
+	int64_t start_ms;	  /* meets its objective if sent by then */
+	int64_t useful_ms;	  /* an answer is of no use later */
 };
 
-static struct worth
-worth_of(const struct sch_request *request, const struct spd_queue *speed)
+static struct limits
+limits_of(const struct sch_request *request, const struct spd_queue *speed)
 {
-	int64_t chain_ms = (int64_t)((double)wk_job_chain_ms(request->job) *
-				     spd_queue_ratio(speed));
+	int64_t critical_path_ms =
+	    (int64_t)((double)wk_job_critical_path_ms(request->job) *
+		      spd_queue_ratio(speed));
 	int64_t objective_ms =
-	    (int64_t)(request->queue->stretch * (double)chain_ms) +
+	    (int64_t)(request->queue->stretch * (double)critical_path_ms) +
 	    request->queue->target_ms;
 
-	return (struct worth){
-	    .chain_ms = chain_ms,
-	    .start_ms = objective_ms - chain_ms,
-	    .useful_ms = USEFUL_OBJECTIVES * objective_ms,
+	return (struct limits){
+	    .critical_path_ms = critical_path_ms,
+	    .start_ms = objective_ms - critical_path_ms,
+	    .useful_ms = MAX_USEFUL_OBJECTIVES * objective_ms,
 	};
 }
 
-/* Whether the first step of b asks as much of a worker as that of a. */
+/* Whether the first step of b needs at least as large a worker as that of a. */
 static bool
-asks_as_much(const struct wk_job *a, const struct wk_job *b)
+needs_as_much(const struct wk_job *a, const struct wk_job *b)
 {
 	return a->steps[0].required_label == NULL &&
 	       a->steps[0].max_per_worker == 0 &&
 	       wk_fits(&a->steps[0].size, &b->steps[0].size);
 }
 
-/* How long jobs of a queue that wait for their first start have waited. */
+/* How long those jobs of a queue have waited of which no task was sent. */
 struct waits {
 	int64_t oldest_ms;
-	int64_t in_time_ms; /* the oldest of those that can still be in time */
+	int64_t in_time_ms; /* of the oldest that can still be in time */
 };
 
 /*
- * In a queue that is served in order, the time that its first job has waited
- * is what a new one must expect; jobs that ask more of a worker say nothing
- * about it.
+ * Jobs of a queue start in their order, so a new one is expected to wait as
+ * long as the oldest has.  Jobs that need a larger worker than the new one are
+ * left out, since their wait says nothing about it.
  */
 static struct waits
 waits_of(struct sch *sch, const struct sch_request *request, int64_t now_ms)
@@ -591,7 +620,7 @@
 
 		if (job->sent ||
 		    strcmp(job->queue, request->queue->name) != 0 ||
-		    !asks_as_much(job->spec, request->job))
+		    !needs_as_much(job->spec, request->job))
 			continue;
 		if (waits.oldest_ms == 0)
 			waits.oldest_ms = now_ms - job->arrived_ms;
@@ -604,19 +633,21 @@
 }
 
 /*
- * Jobs are being given up, and a new one would be late too.  Those that can
- * be in time are let in as long as half of their time to start is left.
+ * Whether a new job would be answered too late to be of use, going by the
+ * oldest waiting job.  It is accepted all the same while the oldest job that
+ * can still meet its objective has used up at most half of its time to start.
  */
 static bool
-is_hopeless(const struct waits *waits, const struct worth *worth)
+is_too_late(const struct waits *waits, const struct limits *limits)
 {
-	return worth->chain_ms > 0 &&
-	       waits->oldest_ms + worth->chain_ms > worth->useful_ms &&
-	       waits->in_time_ms > worth->start_ms / 2;
+	return limits->critical_path_ms > 0 &&
+	       waits->oldest_ms + limits->critical_path_ms >
+		   limits->useful_ms &&
+	       waits->in_time_ms > limits->start_ms / 2;
 }
 
 static void
-read_clock(struct sch *sch, int64_t now_ms)
+record_first_time(struct sch *sch, int64_t now_ms)
 {
 	if (sch->first_ms == 0)
 		sch->first_ms = now_ms;
@@ -626,14 +657,14 @@
 sch_submit(struct sch *sch, struct sch_request *request, int64_t now_ms)
 {
 	struct spd_queue *speed;
-	struct worth worth;
+	struct limits limits;
 	struct waits waits;
 	enum sch_verdict verdict;
 	struct jt_job *job;
 
 	if (request->queue->advised)
 		return SCH_UNSERVED;
-	read_clock(sch, now_ms);
+	record_first_time(sch, now_ms);
 	verdict =
 	    check_workers(sch, request->queue->service, request->job, now_ms);
 	if (verdict != SCH_ACCEPTED)
@@ -641,21 +672,21 @@
 	if (g_hash_table_size(sch->jobs) >= sch->opts.max_jobs)
 		return SCH_OVERLOADED;
 	speed = queue_speed(sch, request->queue->name);
-	worth = worth_of(request, speed);
+	limits = limits_of(request, speed);
 	waits = waits_of(sch, request, now_ms);
 	request->wait_ms = waits.oldest_ms;
-	if (is_hopeless(&waits, &worth))
+	if (is_too_late(&waits, &limits))
 		return SCH_BACKLOG;
 	job = jt_new(request->job, request->queue);
 	job->speed = speed;
 	job->waiter = request->waiter;
 	job->arrived_ms = now_ms;
 	job->deadline_ms = request->deadline_ms;
-	job->start_by_ms = now_ms + worth.start_ms;
+	job->start_by_ms = now_ms + limits.start_ms;
 	job->useful_until_ms = request->deadline_ms;
-	if (worth.chain_ms > 0)
+	if (limits.critical_path_ms > 0)
 		job->useful_until_ms =
-		    MIN(request->deadline_ms, now_ms + worth.useful_ms);
+		    MIN(request->deadline_ms, now_ms + limits.useful_ms);
 	g_hash_table_insert(sch->jobs, job->spec->id, job);
 	g_queue_push_tail_link(list_of(sch, job->priority), &job->link);
 	sch->waiting = true;
@@ -719,12 +750,12 @@
 	for (l = tasks; l != NULL; l = l->next) {
 		struct jt_task *task = l->data;
 
-		/* An earlier one of the list may have ended the job. */
+		/* A task earlier in the list may have ended the job. */
 		if (!g_hash_table_contains(sch->unresolved, task) ||
 		    task->resolved_ms > now_ms)
 			continue;
 		g_hash_table_remove(sch->unresolved, task);
-		task_again(sch, task, "agent was lost");
+		requeue_task(sch, task, "agent was lost");
 	}
 }
 
@@ -747,7 +778,7 @@
 void
 sch_tick(struct sch *sch, int64_t now_ms)
 {
-	read_clock(sch, now_ms);
+	record_first_time(sch, now_ms);
 	resolve_lost(sch, now_ms);
 	expire_jobs(sch, now_ms);
 	sch_run(sch, now_ms);
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -10,9 +10,9 @@
 #include "version/routes.h"
 
 /*
- * The entry's jobs, the order of their tasks, and the choice of a worker for
- * each.  Learns the speeds and faults of workers from the outcomes.  Holds no
- * sockets and reads no clock.
+ * Scheduler of an entry: holds its open jobs, orders their tasks and chooses a
+ * worker for each.  Learns the speed and failure rate of workers from the
+ * outcomes of tasks.  Holds no sockets and reads no clock.
  */
 struct sch;
 
@@ -21,27 +21,27 @@
 	SCH_FAILED,
 	SCH_NOT_STARTED,
 	SCH_LOST,
-	SCH_STALLED /* a fault of the worker, no attempt of the task */
+	SCH_STALLED /* stopped as too slow; no failed attempt of the task */
 };
 
 enum sch_end {
 	SCH_COMPLETED,
 	SCH_JOB_FAILED, /* a task used up its attempts */
 	SCH_EXPIRED,	/* the deadline has passed; tasks may have run */
-	SCH_HOPELESS,	/* given up before any task was sent */
-	SCH_BROKEN	/* given up after a task may have run */
+	SCH_HOPELESS,	/* ended before any task was sent */
+	SCH_BROKEN	/* ended by the entry after a task may have run */
 };
 
 enum sch_verdict {
 	SCH_ACCEPTED,
-	SCH_NO_WORKERS, /* none of the service is usable now */
-	SCH_TOO_LARGE,	/* no known worker could ever run a task */
+	SCH_NO_WORKERS, /* no worker of the service is usable now */
+	SCH_TOO_LARGE,	/* a step needs more than any known worker has */
 	SCH_OVERLOADED, /* too many jobs are open */
-	SCH_BACKLOG,	/* would wait until its answer is worth nothing */
-	SCH_UNSERVED	/* the queue needs what this product has not */
+	SCH_BACKLOG,	/* its answer would come too late to be of use */
+	SCH_UNSERVED	/* queues with placement advice are not supported */
 };
 
-/* A start for a worker; strings are valid during the call. */
+/* Request to start a task on a worker; strings are valid during the call. */
 struct sch_start {
 	uint64_t seq;
 	const char *job;
@@ -55,7 +55,7 @@
 	int64_t start_within_ms;
 };
 
-/* A start that did not end well; strings are valid during the call. */
+/* A start that did not complete its task; strings are valid during the call. */
 struct sch_setback {
 	const char *job;
 	uint32_t step;
@@ -63,79 +63,85 @@
 	uint64_t seq;
 	enum sch_outcome outcome;
 	const char *reason;
-	uint32_t failures; /* attempts of the task that failed, with this */
+	uint32_t failures; /* failed attempts of the task, including this one */
 	uint32_t max_attempts;
 	int64_t sent_ms;
 };
 
 struct sch_options {
-	double cross_rack_factor; /* time on another rack than preferred */
-	int64_t resolve_ms;	  /* runs of a lost agent have ended by then */
+	double cross_rack_factor; /* on run times outside the preferred rack */
+	int64_t resolve_ms;	  /* after it a lost agent runs nothing */
 	uint32_t max_jobs;
-	/* False when nothing was sent. */
+	/* Returns false when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
-	/* After the starts of one pass. */
+	/* Runs after the last start() of a pass for this link. */
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
 	void (*setback)(
 	    void *link, const struct sch_setback *failure, void *ctx);
-	/* The job has ended; waiter is what sch_submit() got. */
+	/* The job has ended; waiter is the one of struct sch_request. */
 	void (*ended)(void *waiter, const char *job, enum sch_end end,
 	    const char *reason, void *ctx);
 	void *ctx;
 };
 
 struct sch_request {
-	struct wk_job *job; /* taken over when it was accepted */
+	struct wk_job *job; /* owned by the scheduler once accepted */
 	const struct rts_queue *queue;
 	int64_t deadline_ms;
 	void *waiter;
-	int64_t wait_ms; /* set: expected time until a task is sent */
+	int64_t wait_ms; /* output: expected time until the first start */
 };
 
-/* How far a job has come. */
+/* Numbers of the tasks of an open job by their state. */
 struct sch_progress {
 	const char *queue;
 	uint32_t n_tasks;
 	uint32_t n_ready; /* wait for a worker */
 	uint32_t n_sent;
-	uint32_t n_unresolved; /* sent to an agent that was lost */
+	uint32_t n_unresolved; /* sent to a lost agent, outcome unknown */
 	uint32_t n_done;
 };
 
 struct sch *sch_new(const struct sch_options *opts);
 void sch_free(struct sch *sch);
 
-/* The workers that tasks go to; their links are passed to the callbacks. */
+/* The workers that may get tasks; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; its open starts are lost after resolve_ms. */
+/* Frees the worker; tasks sent to it are ready again after resolve_ms. */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
-/* The connection was lost: as sch_remove_worker(), but the worker stays. */
+/*
+ * Handles a lost connection: like sch_remove_worker(), but the worker stays and
+ * is unusable until it is described again.
+ */
 void sch_disconnect(struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 
 enum sch_verdict sch_submit(
     struct sch *sch, struct sch_request *request, int64_t now_ms);
-/* Another request for a job that is known here takes it over. */
+/* Makes another request the waiter of a known job; returns the former one. */
 void *sch_take_over(struct sch *sch, const char *job, void *waiter);
 bool sch_has_job(const struct sch *sch, const char *job);
-/* False when the job is not known. */
+/* Returns false when the job is not known. */
 bool sch_progress(
     const struct sch *sch, const char *job, struct sch_progress *progress);
-/* Nobody waits for the job any more; ended() is not called. */
+/*
+ * Drops a job whose caller has gone; ended() is not called.  Returns false when
+ * the job is not known.
+ */
 bool sch_cancel(struct sch *sch, const char *job);
 void sch_result(struct sch *sch, uint64_t seq, enum sch_outcome outcome,
     int64_t run_ms, const char *reason, int64_t now_ms);
-/* Whether a task waits for a worker, so that a run may place it. */
+/* Whether a task may be ready, so that sch_run() should be called. */
 bool sch_is_waiting(const struct sch *sch);
-/* Places what can be placed. */
+/* Sends ready tasks to workers with room for them, by priority. */
 void sch_run(struct sch *sch, int64_t now_ms);
 void sch_tick(struct sch *sch, int64_t now_ms);
-/* Gives every job up, since this process was paused or ends. */
+/* Ends every job, since this process was paused or is shutting down. */
 void sch_give_up_all(struct sch *sch, const char *reason);
 
 uint32_t sch_n_jobs(const struct sch *sch);
-/* Jobs of a queue of which no task has started. */
+/* Number of jobs of a queue of which no task was sent. */
 uint32_t sch_pending(const struct sch *sch, const char *queue);
 
 #endif
--- a/src/request/work.c
+++ b/src/request/work.c
@@ -2,7 +2,7 @@
 
 #include "request/work.h"
 
-/* Whether a task of this size fits into the room. */
+/* Whether a task of this size fits into the free capacity. */
 bool
 wk_fits(const struct wk_size *size, const struct wk_size *room)
 {
@@ -37,7 +37,7 @@
 }
 
 int64_t
-wk_job_chain_ms(const struct wk_job *job)
+wk_job_critical_path_ms(const struct wk_job *job)
 {
 	int64_t *end_ms = g_new0(int64_t, job->n_steps + 1);
 	int64_t longest_ms = 0;
--- a/src/request/work.h
+++ b/src/request/work.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 
 /*
- * A submitted job: steps of equal tasks that run on workers under leases.
+ * A submitted job: steps, each of a number of equal tasks that run on workers.
  * Plain data, without sockets and clock.
  */
 struct wk_size {
@@ -17,8 +17,8 @@
 struct wk_step {
 	uint32_t count;
 	struct wk_size size;
-	int64_t estimate_ms; /* of one task, rough; 0: not given */
-	uint32_t *after;     /* earlier steps that must be done first */
+	int64_t estimate_ms; /* run time of one task; 0: not given */
+	uint32_t *after;     /* indexes of the steps that must be done first */
 	uint32_t n_after;
 	char *required_label;	 /* NULL: any worker */
 	char *preferred_rack;	 /* NULL: any */
@@ -37,8 +37,8 @@
 void wk_subtract(struct wk_size *from, const struct wk_size *size);
 
 uint32_t wk_job_n_tasks(const struct wk_job *job);
-/* Expected time of the longest chain of steps. */
-int64_t wk_job_chain_ms(const struct wk_job *job);
+/* Sum of the estimates along the longest chain of dependent steps. */
+int64_t wk_job_critical_path_ms(const struct wk_job *job);
 /* Frees the contents and the struct; NULL is allowed. */
 void wk_job_free(struct wk_job *job);
 
--- a/tests/policy_replay.c
+++ b/tests/policy_replay.c
@@ -357,7 +357,7 @@
 	else if (strcmp(what, "run_ms") == 0)
 		got = place_expected_run_us(r->place, &task) / 1000;
 	else if (strcmp(what, "next_ms") == 0)
-		got = ej_next_ms(r->eject, r->now_ms);
+		got = ej_next_probe_ms(r->eject, r->now_ms);
 	expect_number(r, what, want, got);
 }
 
