--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -143,7 +143,7 @@
 
 /*
  * Updates the queue after a change of the job's waiting tasks.  A job that
- * joins the queue goes to its front or its tail.
+ * joins the queue goes before the others when front is true.
  */
 static void
 update_queue(struct dsp_job *dj, bool front)
--- a/src/request/job.c
+++ b/src/request/job.c
@@ -8,7 +8,7 @@
 	void *ctx;
 };
 
-/* Counts bytes that the job holds. */
+/* Adds to the bytes held by the job and its table. */
 void
 job_add_bytes(struct job *job, uint64_t bytes)
 {
@@ -70,7 +70,6 @@
 	task->n_headers = 0;
 }
 
-/* Adds a reference. */
 struct job *
 job_ref(struct job *job)
 {
@@ -78,7 +77,6 @@
 	return job;
 }
 
-/* Drops a reference. */
 void
 job_unref(struct job *job)
 {
@@ -104,7 +102,7 @@
 	g_free(job);
 }
 
-/* Makes a job whose tasks all wait, with one reference. */
+/* Makes a job whose tasks all wait.  Returns one reference. */
 struct job *
 job_new(struct job_table *table, const struct job_spec *spec)
 {
@@ -135,56 +133,50 @@
 	return job;
 }
 
-/* Returns the submission id, owned by the job. */
 const char *
 job_id(const struct job *job)
 {
 	return job->spec.id;
 }
 
-/* Returns the service, owned by the job. */
 const char *
 job_service(const struct job *job)
 {
 	return job->spec.service;
 }
 
-/* Returns the team, owned by the job. */
 const char *
 job_team(const struct job *job)
 {
 	return job->spec.team;
 }
 
-/* Returns what was asked for, without the tasks. */
+/* Returns the specification without the tasks. */
 const struct job_spec *
 job_request(const struct job *job)
 {
 	return &job->spec;
 }
 
-/* Returns the state. */
 enum job_state
 job_state(const struct job *job)
 {
 	return job->state;
 }
 
-/* Reports whether the answer is final. */
 bool
 job_is_finished(const struct job *job)
 {
 	return job->state == JOB_COMPLETE || job->state == JOB_FAILED;
 }
 
-/* Returns why the job fails or failed. */
 enum job_cause
 job_cause(const struct job *job)
 {
 	return job->cause;
 }
 
-/* Returns the error code of a cause as callers see it. */
+/* Returns the error code that callers see. */
 const char *
 job_cause_name(enum job_cause cause)
 {
@@ -206,8 +198,8 @@
 }
 
 /*
- * Returns what is known about the execution of a failed job: not run only
- * when every task is proved not to have started.
+ * Returns whether tasks of a failed job have run: JOB_RAN_NOT only when every
+ * task certainly has not started.
  */
 enum job_ran
 job_ran(const struct job *job)
@@ -232,7 +224,7 @@
 	return ran;
 }
 
-/* Returns the name of what is known, as callers see it. */
+/* Returns the value that callers see. */
 const char *
 job_ran_name(enum job_ran ran)
 {
@@ -247,14 +239,12 @@
 	return "unknown";
 }
 
-/* Returns the number of tasks. */
 uint32_t
 job_n_tasks(const struct job *job)
 {
 	return job->spec.n_tasks;
 }
 
-/* Returns a task, owned by the job. */
 const struct job_task *
 job_task(const struct job *job, uint32_t index)
 {
@@ -268,7 +258,7 @@
 	return job->n_waiting;
 }
 
-/* Returns the number of tasks whose start has no outcome yet. */
+/* Returns the number of tasks that were sent and have no outcome yet. */
 uint32_t
 job_n_placed(const struct job *job)
 {
@@ -286,7 +276,7 @@
 	return (*x > *y) - (*x < *y);
 }
 
-/* Orders the tasks of a job that has not been placed yet. */
+/* Only for a job of which no task was placed yet. */
 void
 job_sort(struct job *job, const int64_t *cost)
 {
@@ -296,25 +286,26 @@
 	    sizeof(*job->order), compare_costs, (gpointer)cost);
 	for (i = 0; i < job->spec.n_tasks; i++)
 		job->tasks[job->order[i]].rank = i;
-	job->cursor = 0;
+	job->first_rank = 0;
 }
 
-/* Returns the index of the first waiting task from a rank on. */
 uint32_t
 job_next_waiting(struct job *job, uint32_t rank)
 {
 	if (job->n_waiting == 0)
 		return JOB_NO_TASK;
-	while (job->tasks[job->order[job->cursor]].state != JOB_TASK_WAITING)
-		job->cursor++;
-	for (rank = MAX(rank, job->cursor); rank < job->spec.n_tasks; rank++) {
+	while (
+	    job->tasks[job->order[job->first_rank]].state != JOB_TASK_WAITING)
+		job->first_rank++;
+	for (rank = MAX(rank, job->first_rank); rank < job->spec.n_tasks;
+	     rank++) {
 		if (job->tasks[job->order[rank]].state == JOB_TASK_WAITING)
 			return job->order[rank];
 	}
 	return JOB_NO_TASK;
 }
 
-/* Notes that a waiting task was sent to an agent under seq. */
+/* Records that a waiting task was sent to an agent under seq. */
 void
 job_placed(struct job *job, uint32_t index, uint64_t seq)
 {
@@ -329,7 +320,7 @@
 }
 
 static void
-tell_waiters(struct job *job)
+notify_waiters(struct job *job)
 {
 	struct waiter w;
 
@@ -353,13 +344,13 @@
 	job->finished_ms = now_ms;
 	for (i = 0; i < job->spec.n_tasks; i++) {
 		free_payload(job, &job->tasks[i]);
-		/* A failed job answers without results, never with some. */
+		/* A failed job's answer has no results. */
 		if (state == JOB_FAILED && job->spec.method == NULL)
 			free_result(job, &job->tasks[i]);
 	}
 	if (table != NULL)
 		job_table_finished(table, job);
-	tell_waiters(job);
+	notify_waiters(job);
 	if (table != NULL)
 		job_table_trim(table, job);
 	job_unref(job);
@@ -377,8 +368,8 @@
 }
 
 /*
- * Makes the job fail as a whole.  Tasks that wait will not run; the job ends
- * when every start in progress has an outcome, or by job_give_up().
+ * Makes the job fail.  Its waiting tasks will not run.  It ends when every
+ * start in progress has an outcome, or by job_give_up().
  */
 void
 job_fail(struct job *job, enum job_cause cause, int64_t now_ms)
@@ -397,7 +388,6 @@
 	check_finished(job, now_ms);
 }
 
-/* Ends a failing job without waiting longer for outcomes. */
 void
 job_give_up(struct job *job, int64_t now_ms)
 {
@@ -426,14 +416,14 @@
 }
 
 static void
-wait_again(struct job *job, uint32_t index)
+requeue_task(struct job *job, uint32_t index)
 {
 	job->tasks[index].state = JOB_TASK_WAITING;
 	job->n_waiting++;
-	job->cursor = MIN(job->cursor, job->tasks[index].rank);
+	job->first_rank = MIN(job->first_rank, job->tasks[index].rank);
 }
 
-/* Notes that a start is proved not to have happened; the task waits again. */
+/* Records that a start certainly did not happen; the task waits again. */
 bool
 job_not_started(struct job *job, uint32_t index, uint64_t seq, int64_t now_ms)
 {
@@ -445,23 +435,22 @@
 	if (job->state == JOB_FAILING)
 		task->state = JOB_TASK_NOT_RUN;
 	else
-		wait_again(job, index);
+		requeue_task(job, index);
 	check_finished(job, now_ms);
 	return true;
 }
 
-/* Lets a task whose start has an unknown outcome wait for a second start. */
 bool
 job_retry(struct job *job, uint32_t index, uint64_t seq)
 {
 	if (job->state != JOB_RUNNING || placed_task(job, index, seq) == NULL)
 		return false;
 	job->n_placed--;
-	wait_again(job, index);
+	requeue_task(job, index);
 	return true;
 }
 
-/* Notes a start whose outcome can't be known; the job fails. */
+/* Records that the outcome of a start can't be known; the job fails. */
 bool
 job_unknown(struct job *job, uint32_t index, uint64_t seq, int64_t now_ms)
 {
@@ -496,7 +485,7 @@
 	job->answer_bytes += result->body_len;
 }
 
-/* Stores the answer of a task; a failed task makes the job fail. */
+/* Records the result of a task; a failed task makes the job fail. */
 bool
 job_done(struct job *job, uint32_t index, uint64_t seq,
     const struct job_result *result, int64_t now_ms)
@@ -524,7 +513,6 @@
 	return true;
 }
 
-/* Notes that a caller gets the answer of a finished job. */
 void
 job_set_delivered(struct job *job)
 {
@@ -535,7 +523,6 @@
 		job->table->n_undelivered--;
 }
 
-/* Registers a callback for the end of the job; returns its number. */
 uint64_t
 job_wait(struct job *job, job_done_fn fn, void *ctx)
 {
--- a/src/request/job.h
+++ b/src/request/job.h
@@ -8,12 +8,12 @@
 #include "request/ident.h"
 
 /*
- * The jobs that this entry owns: their tasks, results and answers.  Holds no
- * sockets and reads no clock.  A passed-through request is a job of one task
- * that has no submission id and no record after its answer.
+ * The jobs that this entry owns, with their tasks, results and answers.  Holds
+ * no sockets and reads no clock.  A passed-through request is a job of one task
+ * that has no submission id, and no record once it is answered.
  */
 struct job_table;
-/* Reference counted, so a late result never meets a freed job. */
+/* Reference counted, so that a late result never uses a freed job. */
 struct job;
 
 #define JOB_DIGEST_BYTES 32
@@ -21,18 +21,18 @@
 
 enum job_state {
 	JOB_RUNNING,
-	JOB_FAILING, /* will fail; starts in progress are being withdrawn */
+	JOB_FAILING, /* will fail; its starts are being withdrawn */
 	JOB_COMPLETE,
 	JOB_FAILED
 };
 
 enum job_task_state {
 	JOB_TASK_WAITING,
-	JOB_TASK_PLACED, /* sent to an agent; outcome not known yet */
+	JOB_TASK_PLACED, /* sent to an agent, no outcome yet */
 	JOB_TASK_DONE,
 	JOB_TASK_FAILED,
 	JOB_TASK_UNKNOWN,
-	JOB_TASK_NOT_RUN /* proved not to have started */
+	JOB_TASK_NOT_RUN /* certainly not started */
 };
 
 enum job_cause {
@@ -66,7 +66,7 @@
 	const char *service;
 	const char *team;
 	const char *traceparent;
-	int64_t deadline_ms; /* on the caller's clock of now_ms */
+	int64_t deadline_ms; /* on the clock of now_ms */
 	uint8_t digest[JOB_DIGEST_BYTES];
 	const struct job_task_spec *tasks;
 	uint32_t n_tasks;
@@ -80,7 +80,7 @@
 struct job_task {
 	struct job_task_spec spec;
 	enum job_task_state state;
-	uint32_t rank; /* place in the queue of the job */
+	uint32_t rank; /* position in the job's queue */
 	uint32_t attempts;
 	uint64_t seq; /* of the latest start */
 	uint32_t status;
@@ -115,16 +115,16 @@
 void job_table_free(struct job_table *table);
 uint32_t job_table_count(const struct job_table *table);
 uint32_t job_table_open(const struct job_table *table);
-/* Finished jobs whose answer no caller has got yet. */
+/* Number of finished jobs whose answer no caller has got yet. */
 uint32_t job_table_undelivered(const struct job_table *table);
 uint64_t job_table_bytes(const struct job_table *table);
 
 /* NULL when there is no record. */
 struct job *job_find(struct job_table *table, const char *id);
-/* What job_put() would say without creating a job; JOB_CREATED: new. */
+/* Returns what job_put() would, without creating a job. */
 enum job_put job_peek(struct job_table *table, const char *id, uint64_t counter,
     const uint8_t digest[JOB_DIGEST_BYTES]);
-/* *job is borrowed; set for JOB_CREATED and JOB_SAME. */
+/* Sets *job, borrowed, for JOB_CREATED and JOB_SAME. */
 enum job_put job_put(
     struct job_table *table, const struct job_spec *spec, struct job **job);
 void job_expire(struct job_table *table, int64_t now_ms);
@@ -145,10 +145,10 @@
 const struct job_task *job_task(const struct job *job, uint32_t index);
 uint32_t job_n_waiting(const struct job *job);
 uint32_t job_n_placed(const struct job *job);
-/* Queues the tasks in falling order of cost, equal ones by their index. */
+/* Orders the tasks by falling cost, those of equal cost by index. */
 void job_sort(struct job *job, const int64_t *cost);
 /*
- * The first waiting task at or behind a rank in the job's queue, or
+ * Returns the first waiting task at or behind a rank in the job's queue, or
  * JOB_NO_TASK.
  */
 uint32_t job_next_waiting(struct job *job, uint32_t rank);
@@ -156,7 +156,7 @@
 void job_placed(struct job *job, uint32_t index, uint64_t seq);
 /*
  * Outcomes of a start.  Each returns false, and changes nothing, when seq is
- * not the latest start of the task or its outcome is known already.  The
+ * not the latest start of the task or its outcome is already recorded.  The
  * caller holds a reference, since the job may finish.
  */
 bool job_not_started(
@@ -164,15 +164,18 @@
 bool job_done(struct job *job, uint32_t index, uint64_t seq,
     const struct job_result *result, int64_t now_ms);
 bool job_unknown(struct job *job, uint32_t index, uint64_t seq, int64_t now_ms);
-/* As job_unknown(), but the task of an idempotent request waits again. */
+/* Makes a task with an unknown outcome wait again; for idempotent requests. */
 bool job_retry(struct job *job, uint32_t index, uint64_t seq);
 void job_fail(struct job *job, enum job_cause cause, int64_t now_ms);
-/* Ends a failing job; outcomes still open become unknown. */
+/* Ends a failing job; tasks without an outcome become unknown. */
 void job_give_up(struct job *job, int64_t now_ms);
 
-/* Notes that a caller gets the answer. */
+/* Records that a caller gets the answer. */
 void job_set_delivered(struct job *job);
-/* fn runs once, when the job is finished.  0: already finished or full. */
+/*
+ * Calls fn once, when the job is finished.  Returns 0, and never calls fn, when
+ * the job is already finished or has too many waiters.
+ */
 uint64_t job_wait(struct job *job, job_done_fn fn, void *ctx);
 void job_unwait(struct job *job, uint64_t waiter);
 
--- a/src/request/job_private.h
+++ b/src/request/job_private.h
@@ -3,7 +3,7 @@
 
 #include "request/job.h"
 
-/* Shared by the table of jobs and the jobs in it, and by nothing else. */
+/* Shared by job.c and job_table.c only. */
 
 struct job {
 	int refs;
@@ -12,13 +12,13 @@
 	struct job_task *tasks;
 	uint32_t n_waiting;
 	uint32_t n_placed;
-	uint32_t *order; /* indexes of the tasks by rank */
-	uint32_t cursor; /* no task of a lower rank waits */
+	uint32_t *order;     /* indexes of the tasks by rank */
+	uint32_t first_rank; /* no task with a lower rank is waiting */
 	enum job_state state;
 	enum job_cause cause;
 	int64_t finished_ms;
 	uint64_t answer_bytes;
-	uint64_t bytes; /* payloads and results, as counted by the table */
+	uint64_t bytes; /* of payloads and results, as counted by the table */
 	GArray *waiters;
 	uint64_t next_waiter;
 	bool delivered;
@@ -35,9 +35,15 @@
 
 struct job *job_new(struct job_table *table, const struct job_spec *spec);
 void job_add_bytes(struct job *job, uint64_t bytes);
-/* Keeps the record of a job that has just finished, or drops it. */
+/*
+ * Keeps the record of a job that has just finished, or drops that of a
+ * passed-through request.
+ */
 void job_table_finished(struct job_table *table, struct job *job);
-/* Drops an old record when the table is too large, but not this job's. */
+/*
+ * Drops the oldest record, unless it is this job's, while the table holds too
+ * many bytes.
+ */
 void job_table_trim(struct job_table *table, const struct job *job);
 
 #endif
--- a/src/request/job_table.c
+++ b/src/request/job_table.c
@@ -2,7 +2,6 @@
 
 #include "request/job_private.h"
 
-/* Makes an empty table. */
 struct job_table *
 job_table_new(const struct job_options *opts)
 {
@@ -14,7 +13,7 @@
 	return table;
 }
 
-/* Frees the table; jobs that others still refer to outlive it. */
+/* Frees the table; jobs with other references outlive it. */
 void
 job_table_free(struct job_table *table)
 {
@@ -34,35 +33,33 @@
 	g_free(table);
 }
 
-/* Returns the number of records. */
 uint32_t
 job_table_count(const struct job_table *table)
 {
 	return g_hash_table_size(table->jobs);
 }
 
-/* Returns the number of jobs that are not finished. */
+/* Returns the number of unfinished jobs. */
 uint32_t
 job_table_open(const struct job_table *table)
 {
 	return table->n_open;
 }
 
-/* Returns the number of finished jobs whose answer was not fetched. */
 uint32_t
 job_table_undelivered(const struct job_table *table)
 {
 	return table->n_undelivered;
 }
 
-/* Returns the bytes of payloads and results held. */
+/* Returns the number of bytes of payloads and results held. */
 uint64_t
 job_table_bytes(const struct job_table *table)
 {
 	return table->bytes;
 }
 
-/* Removes the record; the id, if it has one, is expired from now on. */
+/* Removes the record; an id that it has counts as expired from now on. */
 static void
 drop_record(struct job_table *table, struct job *job)
 {
@@ -87,7 +84,7 @@
 	return true;
 }
 
-/* Drops finished records that are older than the retention time. */
+/* Drops records of finished jobs that are older than the retention time. */
 void
 job_expire(struct job_table *table, int64_t now_ms)
 {
@@ -98,14 +95,12 @@
 		drop_oldest(table);
 }
 
-/* Finds the record of a job, finished or not. */
 struct job *
 job_find(struct job_table *table, const char *id)
 {
 	return g_hash_table_lookup(table->jobs, id);
 }
 
-/* Says whether an id with this body is new, known, or refused. */
 enum job_put
 job_peek(struct job_table *table, const char *id, uint64_t counter,
     const uint8_t digest[JOB_DIGEST_BYTES])
@@ -133,7 +128,7 @@
 }
 
 /*
- * Creates the job, or finds the one with the same id.  A second body for an
+ * Creates the job, or finds the one with the same id.  Another body for a known
  * id is a conflict, so an id never stands for two submissions.
  */
 enum job_put
@@ -152,7 +147,7 @@
 		if (!drop_oldest(table))
 			return JOB_FULL;
 	}
-	/* Dropping records may have raised the mark past this id. */
+	/* Dropping records may have raised the low-water mark past this id. */
 	if (spec->counter != 0 && spec->counter < id_low_water(table->opts.ids))
 		return JOB_EXPIRED;
 	*job = job_new(table, spec);
@@ -162,7 +157,6 @@
 	return JOB_CREATED;
 }
 
-/* Moves a job from the open ones to the finished ones. */
 void
 job_table_finished(struct job_table *table, struct job *job)
 {
@@ -175,7 +169,10 @@
 	table->n_undelivered++;
 }
 
-/* Results grow after admission, so the bound is restored here. */
+/*
+ * Results are stored after admission, so the limit of max_bytes may be exceeded
+ * here.
+ */
 void
 job_table_trim(struct job_table *table, const struct job *job)
 {
--- a/src/request/jobform.c
+++ b/src/request/jobform.c
@@ -24,7 +24,10 @@
 	    tok, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
 	*root = json_tokener_parse_ex(tok, body, (int)len);
 	error = json_tokener_get_error(tok);
-	/* A number at the end of the input is complete only after more. */
+	/*
+	 * Bytes after the value are an error.  A bare number is incomplete for
+	 * the parser until more input follows.
+	 */
 	if (error == json_tokener_success &&
 	    json_tokener_get_parse_end(tok) != len)
 		error = json_tokener_error_parse_unexpected;
@@ -93,7 +96,7 @@
 	return false;
 }
 
-/* A string is sent as its bytes, any other value as JSON. */
+/* The payload of a string is its bytes, that of any other value its JSON. */
 static GBytes *
 payload_bytes(struct json_object *value)
 {
@@ -175,7 +178,7 @@
 	return code;
 }
 
-/* Reads the body of a submission and checks every key. */
+/* Parses the body of a submission; unknown keys are an error. */
 enum ref_code
 jf_parse(const void *body, size_t len, const struct jf_limits *limits,
     struct jobform **form, struct status *why)
@@ -204,7 +207,7 @@
 	return code;
 }
 
-/* Frees a form; NULL is allowed. */
+/* NULL is allowed. */
 void
 jf_free(struct jobform *form)
 {
@@ -220,7 +223,6 @@
 	g_free(form);
 }
 
-/* Reads how many ids a caller wants. */
 enum ref_code
 jf_parse_count(
     const void *body, size_t len, uint32_t *count, struct status *why)
@@ -304,7 +306,6 @@
 	g_string_append(out, "\",");
 }
 
-/* Writes the answer about a job in its present state. */
 GString *
 jf_answer(const struct job *job, const char *next_id, uint32_t *http_status)
 {
--- a/src/request/jobform.h
+++ b/src/request/jobform.h
@@ -9,14 +9,14 @@
 #include "request/job.h"
 #include "request/refusal.h"
 
-/* The JSON of a submission, and of the answer to it. */
+/* A submission, parsed from its JSON body. */
 struct jobform {
 	char *service;
 	char *team;
-	int64_t deadline_ms; /* from the submission on */
+	int64_t deadline_ms; /* time from the submission on */
 	struct job_task_spec *tasks;
 	uint32_t n_tasks;
-	uint32_t max_cores; /* the most that one task asks for */
+	uint32_t max_cores; /* of any task */
 	uint64_t max_memory_mb;
 };
 
@@ -30,15 +30,20 @@
 	uint32_t max_payload_bytes;
 };
 
-/* REF_NONE: *form is set, free it with jf_free(); else why says more. */
+/*
+ * On REF_NONE sets *form, to be freed with jf_free(); else why has a message.
+ */
 enum ref_code jf_parse(const void *body, size_t len,
     const struct jf_limits *limits, struct jobform **form, struct status *why);
 void jf_free(struct jobform *form);
-/* Reads {"count":n}; an empty body asks for one id. */
+/* Parses {"count":n}, a request for ids; an empty body asks for one id. */
 enum ref_code jf_parse_count(
     const void *body, size_t len, uint32_t *count, struct status *why);
 
-/* Answers with their HTTP status; the caller owns the string. */
+/*
+ * Returns the JSON answer about the job in its present state and sets its HTTP
+ * status.  The caller owns the string.
+ */
 GString *jf_answer(
     const struct job *job, const char *next_id, uint32_t *http_status);
 
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -3,74 +3,78 @@
 
 #include "request/ledger.h"
 
-/* A stop that was refused is repeated after this time. */
+/* A stop that the worker has not confirmed is sent again after this time. */
 #define STOP_REPEAT_MS 400
-/* Run numbers skipped when the worker knows higher ones already. */
-#define RUN_SKIP      10000
-#define MAX_RENUMBERS 3
+/* Run numbers skipped when the worker has already seen higher ones. */
+#define RUN_NUMBER_SKIP 10000
+#define MAX_RENUMBERS	3
 /*
- * A run whose progress has not changed for this time stands still.  Progress
- * is told in percent, so long tasks change it less often.
+ * A run is stalled when its progress has not changed for this share of its
+ * expected run time, but at least STALL_MIN_MS, or for STALL_UNKNOWN_MS when no
+ * run time is expected.  The time grows with the run time because progress is
+ * reported in whole percent, which change less often in long tasks.
  */
 #define STALL_MIN_MS	     300
 #define STALL_EXPECTED_SHARE 0.06
 #define STALL_UNKNOWN_MS     10000
 /*
- * A run that is projected to take so many times what was expected here is
- * stopped too, so that its task can still be in time elsewhere.
+ * A run whose projected run time is more than SLOW_FACTOR times the expected
+ * one and at least SLOW_MIN_MS longer is stopped, so that another worker can
+ * still finish the task in time.  The projection needs SLOW_MIN_PERCENT of
+ * progress.
  */
 #define SLOW_FACTOR	 3
-#define SLOW_MIN_MS	 200 /* beyond what was expected */
+#define SLOW_MIN_MS	 200
 #define SLOW_MIN_PERCENT 3
 
 enum state {
 	QUEUED,
 	STARTING,
 	RUNNING,
-	STOPPING, /* a stop is wanted, or the start's outcome is unknown */
+	STOPPING, /* a stop was sent, also when the start got no answer */
 };
 
 struct run {
 	enum state state;
-	uint64_t session; /* 0: the session has ended, nobody waits */
+	uint64_t session;
 	uint64_t seq;
 	char *task;
 	char *spec;
 	struct wk_size size;
 	uint32_t priority;
-	uint64_t order; /* of arrival */
+	uint64_t order; /* order of arrival */
 	int64_t start_by_ms;
-	int64_t number; /* of the run at the worker */
+	int64_t number; /* run number given to the worker */
 	int64_t sent_ms;
-	int64_t unsure_ms;    /* the start got no answer, 0: it did */
-	int64_t stop_sent_ms; /* 0: not on its way */
-	int64_t sealed_ms;    /* the stop was answered, 0: not yet */
+	int64_t no_answer_ms;	   /* when the start timed out, 0: it did not */
+	int64_t stop_sent_ms;	   /* when a stop was last sent, 0: never */
+	int64_t stop_confirmed_ms; /* when the stop was confirmed, 0: not yet */
 	uint32_t renumbers;
-	const char *why; /* reason of the stop */
+	const char *stop_reason; /* stop_reason it was stopped */
 	int64_t expected_ms;
 	int64_t percent;    /* as last reported, -1: never */
-	int64_t changed_ms; /* worker's clock when it changed */
+	int64_t changed_ms; /* worker's clock at its last change */
 	int64_t first_ms;   /* worker's clock of the first report */
 	int64_t first_percent;
-	int64_t projected_ms; /* run time by its progress, 0: unknown */
+	int64_t projected_ms; /* run time projected from progress, 0: unknown */
 	bool stalled;
 };
 
 struct led {
 	struct led_options opts;
 	struct wk_size capacity;
-	struct wk_size used; /* by all but the queue */
+	struct wk_size used; /* by active runs */
 	struct wk_size queued;
 	int64_t last_run;
 	uint64_t next_order;
 	GSequence *queue;    /* struct run, by priority and order */
 	GHashTable *active;  /* run number to struct run */
 	GHashTable *by_task; /* task to active struct run */
-	bool pumping;
+	bool in_pump;
 };
 
 static int
-by_priority(gconstpointer left, gconstpointer right, gpointer data)
+compare_priorities(gconstpointer left, gconstpointer right, gpointer data)
 {
 	const struct run *a = left, *b = right;
 
@@ -100,7 +104,7 @@
 	return led;
 }
 
-/* Frees the ledger; nothing is stopped.  NULL is allowed. */
+/* Frees the ledger without stopping its runs.  NULL is allowed. */
 void
 led_free(struct led *led)
 {
@@ -135,7 +139,7 @@
 }
 
 static void
-tell(struct led *led, const struct run *run, enum led_outcome outcome,
+report_result(struct led *led, const struct run *run, enum led_outcome outcome,
     int64_t run_ms, const char *reason)
 {
 	struct led_result result = {
@@ -151,7 +155,7 @@
 	led->opts.result(&result, led->opts.ctx);
 }
 
-/* Gives the room of an active run back and frees it. */
+/* Frees an active run and the capacity that it holds. */
 static void
 release(struct led *led, struct run *run)
 {
@@ -170,7 +174,7 @@
 	if (outcome == LED_STALLED)
 		run_ms = run->projected_ms;
 
-	tell(led, run, outcome, run_ms, reason);
+	report_result(led, run, outcome, run_ms, reason);
 	release(led, run);
 }
 
@@ -181,7 +185,7 @@
 
 	g_sequence_remove(it);
 	wk_subtract(&led->queued, &run->size);
-	tell(led, run, LED_NOT_STARTED, 0, reason);
+	report_result(led, run, LED_NOT_STARTED, 0, reason);
 	run_free(run);
 }
 
@@ -201,18 +205,19 @@
 	run->expected_ms = start->expected_ms;
 	run->percent = -1;
 	if (!wk_fits(&run->size, &led->capacity)) {
-		tell(led, run, LED_NOT_STARTED, 0, "larger than the worker");
+		report_result(
+		    led, run, LED_NOT_STARTED, 0, "larger than the worker");
 		run_free(run);
 		return;
 	}
 	if ((uint32_t)g_sequence_get_length(led->queue) >=
 	    led->opts.max_queue) {
-		tell(led, run, LED_NOT_STARTED, 0, "queue full");
+		report_result(led, run, LED_NOT_STARTED, 0, "queue full");
 		run_free(run);
 		return;
 	}
 	wk_add(&led->queued, &run->size);
-	g_sequence_insert_sorted(led->queue, run, by_priority, NULL);
+	g_sequence_insert_sorted(led->queue, run, compare_priorities, NULL);
 	led_pump(led, now_ms);
 }
 
@@ -224,16 +229,20 @@
 }
 
 static void
-begin_stop(struct led *led, struct run *run, const char *why, int64_t now_ms)
+begin_stop(
+    struct led *led, struct run *run, const char *stop_reason, int64_t now_ms)
 {
 	if (run->state == STOPPING)
 		return;
 	run->state = STOPPING;
-	run->why = why;
+	run->stop_reason = stop_reason;
 	send_stop(led, run, now_ms);
 }
 
-/* Queued starts that match a session, and a seq unless it is 0. */
+/*
+ * Returns the queued start with this session and seq, or all of the session
+ * when seq is 0, as not started.
+ */
 static void
 refuse_matching(
     struct led *led, uint64_t session, uint64_t seq, const char *reason)
@@ -300,17 +309,17 @@
 }
 
 /*
- * Strict order of priority: the first start that lacks room holds back those
- * behind it.  A task whose former run has not ended yet is passed over.
+ * Strict order of priority: the first start that does not fit the free capacity
+ * holds back those behind it.  A task that still has an active run is skipped.
  */
 void
 led_pump(struct led *led, int64_t now_ms)
 {
 	GSequenceIter *it;
 
-	if (led->pumping)
+	if (led->in_pump)
 		return;
-	led->pumping = true;
+	led->in_pump = true;
 	it = g_sequence_get_begin_iter(led->queue);
 	while (!g_sequence_iter_is_end(it)) {
 		GSequenceIter *next = g_sequence_iter_next(it);
@@ -334,7 +343,7 @@
 		}
 		it = next;
 	}
-	led->pumping = false;
+	led->in_pump = false;
 }
 
 void
@@ -346,7 +355,7 @@
 	for (l = runs; l != NULL; l = l->next) {
 		struct run *run = l->data;
 
-		if (run->state == STOPPING && run->sealed_ms == 0 &&
+		if (run->state == STOPPING && run->stop_confirmed_ms == 0 &&
 		    now_ms - run->stop_sent_ms >= STOP_REPEAT_MS)
 			send_stop(led, run, now_ms);
 	}
@@ -359,14 +368,17 @@
 	return g_hash_table_lookup(led->active, &number);
 }
 
-/* The worker knows a higher run of the task than this agent gave out. */
+/*
+ * Starts the task again with a higher run number, since the worker has seen a
+ * higher one than this agent has assigned.
+ */
 static void
 renumber(struct led *led, struct run *run, int64_t now_ms)
 {
 	g_hash_table_remove(led->active, &run->number);
 	g_hash_table_remove(led->by_task, run->task);
 	run->renumbers++;
-	led->last_run += RUN_SKIP;
+	led->last_run += RUN_NUMBER_SKIP;
 	send_start(led, run, now_ms);
 }
 
@@ -391,7 +403,7 @@
 		break;
 	case WP_NO_ANSWER:
 		if (run->state == STARTING) {
-			run->unsure_ms = now_ms;
+			run->no_answer_ms = now_ms;
 			led->opts.look(led->opts.ctx);
 		}
 		return;
@@ -421,12 +433,12 @@
 	}
 	if (verdict != WP_DONE && verdict != WP_STALE)
 		return;
-	run->sealed_ms = now_ms;
+	run->stop_confirmed_ms = now_ms;
 	led->opts.look(led->opts.ctx);
 }
 
 static void
-take_end(struct led *led, const struct wp_ended *end, int64_t now_ms)
+record_end(struct led *led, const struct wp_ended *end, int64_t now_ms)
 {
 	struct run *run = find(led, end->run);
 
@@ -444,7 +456,9 @@
 		break;
 	}
 	finish(led, run, run->stalled ? LED_STALLED : LED_LOST,
-	    run->why != NULL ? run->why : "lease of the worker lapsed", now_ms);
+	    run->stop_reason != NULL ? run->stop_reason
+				     : "lease of the worker lapsed",
+	    now_ms);
 }
 
 static int64_t
@@ -456,7 +470,7 @@
 	    (int64_t)((double)run->expected_ms * STALL_EXPECTED_SHARE));
 }
 
-/* Projects the run time from the progress between two reports. */
+/* Projects the run time from the progress since the first report. */
 static bool
 is_too_slow(struct run *run, int64_t percent, int64_t clock_ms)
 {
@@ -470,15 +484,19 @@
 }
 
 static void
-give_up_slow(struct led *led, struct run *run, const char *why, int64_t now_ms)
+stop_slow(
+    struct led *led, struct run *run, const char *stop_reason, int64_t now_ms)
 {
 	run->stalled = true;
-	begin_stop(led, run, why, now_ms);
+	begin_stop(led, run, stop_reason, now_ms);
 }
 
-/* Stops a run that would take far too long, so that it can run elsewhere. */
+/*
+ * Records a run's progress and stops the run when it has stalled or is too
+ * slow.
+ */
 static void
-take_progress(struct led *led, const struct wp_running *row, int64_t clock_ms,
+record_progress(struct led *led, const struct wp_running *row, int64_t clock_ms,
     int64_t now_ms)
 {
 	struct run *run = find(led, row->run);
@@ -494,9 +512,9 @@
 		run->percent = row->percent;
 		run->changed_ms = clock_ms;
 		if (is_too_slow(run, row->percent, clock_ms))
-			give_up_slow(led, run, "too slow", now_ms);
+			stop_slow(led, run, "too slow", now_ms);
 	} else if (clock_ms - run->changed_ms >= stall_ms(run)) {
-		give_up_slow(led, run, "no progress", now_ms);
+		stop_slow(led, run, "no progress", now_ms);
 	}
 }
 
@@ -513,10 +531,13 @@
 	return false;
 }
 
-/* A sealed run that a later report does not list will never run. */
+/*
+ * A run whose stop was confirmed will never run when a report requested after
+ * that does not list it.
+ */
 static void
-release_sealed(struct led *led, const struct wp_report *report, int64_t sent_ms,
-    int64_t now_ms)
+release_stopped(struct led *led, const struct wp_report *report,
+    int64_t sent_ms, int64_t now_ms)
 {
 	g_autoptr(GList) runs = g_hash_table_get_values(led->active);
 	GList *l;
@@ -524,20 +545,21 @@
 	for (l = runs; l != NULL; l = l->next) {
 		struct run *run = l->data;
 
-		if (run->state == STOPPING && run->sealed_ms != 0 &&
-		    run->sealed_ms <= sent_ms && !lists(report, run))
+		if (run->state == STOPPING && run->stop_confirmed_ms != 0 &&
+		    run->stop_confirmed_ms <= sent_ms && !lists(report, run))
 			finish(led, run, run->stalled ? LED_STALLED : LED_LOST,
-			    run->why, now_ms);
+			    run->stop_reason, now_ms);
 	}
 }
 
 /*
- * A start without an answer was carried out if a later report lists it, and
- * may still be otherwise: then its number is sealed by a stop.
+ * Settles starts that got no answer.  One that a later report lists is running.
+ * Any other may still be carried out, so a stop is sent, after which the worker
+ * refuses its run number.
  */
 static void
-settle_unsure(struct led *led, const struct wp_report *report, int64_t sent_ms,
-    int64_t now_ms)
+settle_unanswered(struct led *led, const struct wp_report *report,
+    int64_t sent_ms, int64_t now_ms)
 {
 	g_autoptr(GList) runs = g_hash_table_get_values(led->active);
 	GList *l;
@@ -545,8 +567,8 @@
 	for (l = runs; l != NULL; l = l->next) {
 		struct run *run = l->data;
 
-		if (run->state != STARTING || run->unsure_ms == 0 ||
-		    run->unsure_ms > sent_ms)
+		if (run->state != STARTING || run->no_answer_ms == 0 ||
+		    run->no_answer_ms > sent_ms)
 			continue;
 		if (lists(report, run))
 			run->state = RUNNING;
@@ -562,12 +584,12 @@
 	size_t i;
 
 	for (i = 0; i < report->n_ended; i++)
-		take_end(led, &report->ended[i], now_ms);
+		record_end(led, &report->ended[i], now_ms);
 	for (i = 0; i < report->n_running; i++)
-		take_progress(
+		record_progress(
 		    led, &report->running[i], report->answer.clock_ms, now_ms);
-	settle_unsure(led, report, sent_ms, now_ms);
-	release_sealed(led, report, sent_ms, now_ms);
+	settle_unanswered(led, report, sent_ms, now_ms);
+	release_stopped(led, report, sent_ms, now_ms);
 	led_pump(led, now_ms);
 }
 
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -9,14 +9,14 @@
 #include "request/work.h"
 
 /*
- * The agent's record of what its worker runs, what is being stopped and what
- * may still start, and the queue of starts that wait for room.  A start whose
- * outcome is unknown keeps its room until the worker has refused it for good
- * or has ended it.  Holds no sockets and reads no clock.
+ * An agent's record of its worker's runs, which are starting, running or being
+ * stopped, and the queue of starts that wait for free capacity.  A start whose
+ * outcome is unknown keeps its capacity until the worker has refused it for
+ * good or has reported its end.  Holds no sockets and reads no clock.
  */
 struct led;
 
-/* A start as an entry asked for it; strings are copied. */
+/* A start requested by an entry; strings are copied. */
 struct led_start {
 	uint64_t session;
 	uint64_t seq;
@@ -24,7 +24,7 @@
 	const char *spec;
 	struct wk_size size;
 	uint32_t priority;
-	int64_t expected_ms; /* run time here, 0: unknown */
+	int64_t expected_ms; /* run time on this worker, 0: unknown */
 	int64_t start_by_ms;
 };
 
@@ -40,7 +40,7 @@
 	uint64_t session;
 	uint64_t seq;
 	enum led_outcome outcome;
-	int64_t run_ms; /* as run, or projected when stalled; 0: unknown */
+	int64_t run_ms; /* measured, or projected when stalled; 0: unknown */
 	const char *reason;
 	const char *task;
 	int64_t run;
@@ -48,13 +48,16 @@
 
 struct led_options {
 	uint32_t max_queue;
-	/* Whether a start may be sent now; reason is set when not. */
+	/* Whether a start may be sent now; sets reason when it may not. */
 	bool (*may_start)(uint64_t session, const char **reason, void *ctx);
-	/* Calls to the worker; the answers come by led_started/led_stopped. */
+	/*
+	 * Calls to the worker.  Their answers go to led_started() and
+	 * led_stopped().
+	 */
 	void (*start)(
 	    const char *task, const char *spec, int64_t run, void *ctx);
 	void (*stop)(const char *task, int64_t run, void *ctx);
-	/* Asks for a report that is newer than this call. */
+	/* Asks the worker for a report made after this call. */
 	void (*look)(void *ctx);
 	void (*result)(const struct led_result *result, void *ctx);
 	void *ctx;
@@ -63,37 +66,42 @@
 struct led *led_new(const struct led_options *opts);
 void led_free(struct led *led);
 
-/* Run numbers from now on are above this one. */
+/* Run numbers assigned from now on are above this one. */
 void led_set_run_floor(struct led *led, int64_t run);
 void led_set_capacity(struct led *led, const struct wk_size *capacity);
 
-/* A refused start gets its result before this returns. */
+/* Queues a start.  One that is refused gets its result during the call. */
 void led_submit(struct led *led, const struct led_start *start, int64_t now_ms);
 void led_cancel(
     struct led *led, uint64_t session, uint64_t seq, int64_t now_ms);
-/* Drops the queue of the session, stops its runs and forgets its results. */
+/* Returns the queued starts of the session as not started, stops its runs. */
 void led_end_session(struct led *led, uint64_t session, int64_t now_ms);
 /* Returns every queued start as not started. */
 void led_return_queue(struct led *led, const char *reason, int64_t now_ms);
-/* Starts what can start. */
+/* Starts queued tasks that the free capacity allows. */
 void led_pump(struct led *led, int64_t now_ms);
-/* Repeats stops without an answer and expires the queue. */
+/* Repeats unconfirmed stops and returns queued starts whose time has passed. */
 void led_tick(struct led *led, int64_t now_ms);
 
 void led_started(struct led *led, int64_t run, const struct wp_answer *answer,
     int64_t now_ms);
 void led_stopped(
     struct led *led, int64_t run, enum wp_verdict verdict, int64_t now_ms);
-/* A report of the worker that was asked for at sent_ms. */
+/* Processes a report that was requested from the worker at sent_ms. */
 void led_report(struct led *led, const struct wp_report *report,
     int64_t sent_ms, int64_t now_ms);
-/* The worker runs nothing any more: it was replaced or its lease ran out. */
+/*
+ * Ends every run as lost, since the worker was replaced or its lease expired,
+ * and returns the queue.
+ */
 void led_worker_lost(struct led *led, const char *reason, int64_t now_ms);
 
-/* Capacity less everything that runs, may run or is queued. */
+/*
+ * Capacity not taken by runs and queued starts; negative when more is queued.
+ */
 void led_room(const struct led *led, struct wk_size *room);
 uint32_t led_queued(const struct led *led);
-/* Runs that hold room. */
+/* Number of runs that hold capacity. */
 uint32_t led_active(const struct led *led);
 
 #endif
