--- a/src/request/batch.c
+++ b/src/request/batch.c
@@ -2,10 +2,13 @@
 
 #include "request/batch.h"
 
-#define BATCH_BYTES    1048576U /* well under the record limit */
-#define START_OVERHEAD 512
+#define MAX_BATCH_BYTES	     1048576U /* well under the limit of an RPC record */
+#define START_OVERHEAD_BYTES 512
 
-/* Finds the batch; in the order of first use, so that a trace replays. */
+/*
+ * Keeps the batches in the order of their first use, so that a replayed trace
+ * sends the same messages.
+ */
 struct batch *
 bat_get(GPtrArray *batches, void *agent)
 {
@@ -25,7 +28,6 @@
 	return batch;
 }
 
-/* Frees a batch. */
 void
 bat_free(gpointer data)
 {
@@ -36,18 +38,17 @@
 	g_free(batch);
 }
 
-/* Keeps a message under the limits of a record and of the wire types. */
+/* Limits a message to MAX_BATCH_BYTES and WIRE_BATCH_MAX starts. */
 bool
 bat_is_full(const struct batch *batch, const struct job *job, uint32_t index)
 {
 	size_t bytes = g_bytes_get_size(job_task(job, index)->spec.payload);
 
 	return batch->starts->len > 0 &&
-	       (batch->bytes + bytes + START_OVERHEAD > BATCH_BYTES ||
+	       (batch->bytes + bytes + START_OVERHEAD_BYTES > MAX_BATCH_BYTES ||
 		   batch->starts->len >= WIRE_BATCH_MAX);
 }
 
-/* Adds the start of a task. */
 void
 bat_add(struct batch *batch, const struct job *job, uint32_t index,
     uint64_t seq, int64_t now_ms)
@@ -74,10 +75,10 @@
 	start.traceparent =
 	    (char *)(spec->traceparent != NULL ? spec->traceparent : "");
 	g_array_append_val(batch->starts, start);
-	batch->bytes += len + START_OVERHEAD;
+	batch->bytes += len + START_OVERHEAD_BYTES;
 }
 
-/* Empties a batch that was sent or returned. */
+/* Empties a batch after it was sent or its starts were undone. */
 void
 bat_clear(struct batch *batch)
 {
--- a/src/request/health.c
+++ b/src/request/health.c
@@ -2,46 +2,53 @@
 
 #include "request/health.h"
 
-#define EJECT_STREAK   3
-#define BACKOFF_MIN_MS 300
-#define BACKOFF_MAX_MS 2400
-/* A worker that refused a start gets none for this long. */
+#define EJECT_FAILED_JOBS 3
+#define BACKOFF_MIN_MS	  300
+#define BACKOFF_MAX_MS	  2400
+/* A worker that refused a start gets none for this time. */
 #define REFUSED_PAUSE_MS 100
 /* Weight of a new outcome in the failure rate. */
 #define RATE_WEIGHT 0.25
-/* Halves the rate of a worker that gets no work, so that it is tried again. */
+/*
+ * Half-life of the failure rate, so that a worker that gets no tasks is tried
+ * again.
+ */
 #define RATE_HALF_LIFE_MS 3000.0
 
 double
 hlt_failure_rate(const struct hlt *health, int64_t now_ms)
 {
-	return health->rate *
-	       exp2(-(double)(now_ms - health->rate_ms) / RATE_HALF_LIFE_MS);
+	return health->failure_rate *
+	       exp2(-(double)(now_ms - health->failure_rate_ms) /
+		    RATE_HALF_LIFE_MS);
 }
 
 static void
-note(struct hlt *health, double outcome, int64_t now_ms)
+record_outcome(struct hlt *health, double outcome, int64_t now_ms)
 {
 	double rate = hlt_failure_rate(health, now_ms);
 
-	health->rate = rate + RATE_WEIGHT * (outcome - rate);
-	health->rate_ms = now_ms;
+	health->failure_rate = rate + RATE_WEIGHT * (outcome - rate);
+	health->failure_rate_ms = now_ms;
 }
 
 void
 hlt_done(struct hlt *health, int64_t now_ms)
 {
-	note(health, 0, now_ms);
-	health->streak = 0;
+	record_outcome(health, 0, now_ms);
+	health->n_failed_jobs = 0;
 	health->backoff_ms = 0;
 }
 
 void
 hlt_failed(struct hlt *health, int64_t now_ms)
 {
-	note(health, 1, now_ms);
-	health->streak++;
-	/* Tasks that were sent before the ejection prove nothing new. */
+	record_outcome(health, 1, now_ms);
+	health->n_failed_jobs++;
+	/*
+	 * Outcomes of tasks that were sent before the ejection do not extend
+	 * it.
+	 */
 	if (!hlt_is_ejected(health) || now_ms < health->paused_until_ms)
 		return;
 	health->backoff_ms =
@@ -61,7 +68,7 @@
 bool
 hlt_is_ejected(const struct hlt *health)
 {
-	return health->streak >= EJECT_STREAK;
+	return health->n_failed_jobs >= EJECT_FAILED_JOBS;
 }
 
 bool
--- a/src/request/job.c
+++ b/src/request/job.c
@@ -344,7 +344,10 @@
 	job->finished_ms = now_ms;
 	for (i = 0; i < job->spec.n_tasks; i++) {
 		free_payload(job, &job->tasks[i]);
-		/* A failed job's answer has no results. */
+		/*
+		 * The answer of a failed job has no results, unless it was a
+		 * passed-through request.
+		 */
 		if (state == JOB_FAILED && job->spec.method == NULL)
 			free_result(job, &job->tasks[i]);
 	}
--- a/src/request/job_private.h
+++ b/src/request/job_private.h
@@ -41,8 +41,8 @@
  */
 void job_table_finished(struct job_table *table, struct job *job);
 /*
- * Drops the oldest record, unless it is this job's, while the table holds too
- * many bytes.
+ * Drops the oldest finished record, unless it is this job's, when the table
+ * holds too many bytes.
  */
 void job_table_trim(struct job_table *table, const struct job *job);
 
--- a/src/request/job_table.c
+++ b/src/request/job_table.c
@@ -169,10 +169,7 @@
 	table->n_undelivered++;
 }
 
-/*
- * Results are stored after admission, so the limit of max_bytes may be exceeded
- * here.
- */
+/* Results are stored after admission and may exceed max_bytes. */
 void
 job_table_trim(struct job_table *table, const struct job *job)
 {
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -50,7 +50,7 @@
 	int64_t stop_sent_ms;	   /* when a stop was last sent, 0: never */
 	int64_t stop_confirmed_ms; /* when the stop was confirmed, 0: not yet */
 	uint32_t renumbers;
-	const char *stop_reason; /* stop_reason it was stopped */
+	const char *stop_reason; /* reason of the stop */
 	int64_t expected_ms;
 	int64_t percent;    /* as last reported, -1: never */
 	int64_t changed_ms; /* worker's clock at its last change */
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -74,7 +74,7 @@
 void led_submit(struct led *led, const struct led_start *start, int64_t now_ms);
 void led_cancel(
     struct led *led, uint64_t session, uint64_t seq, int64_t now_ms);
-/* Returns the queued starts of the session as not started, stops its runs. */
+/* Returns the session's queued starts as not started and stops its runs. */
 void led_end_session(struct led *led, uint64_t session, int64_t now_ms);
 /* Returns every queued start as not started. */
 void led_return_queue(struct led *led, const char *reason, int64_t now_ms);
@@ -91,14 +91,12 @@
 void led_report(struct led *led, const struct wp_report *report,
     int64_t sent_ms, int64_t now_ms);
 /*
- * Ends every run as lost, since the worker was replaced or its lease expired,
- * and returns the queue.
+ * Ends every run as lost and returns the queue: the worker was replaced or its
+ * lease has expired.
  */
 void led_worker_lost(struct led *led, const char *reason, int64_t now_ms);
 
-/*
- * Capacity not taken by runs and queued starts; negative when more is queued.
- */
+/* Capacity less that of active runs and queued starts; may be negative. */
 void led_room(const struct led *led, struct wk_size *room);
 uint32_t led_queued(const struct led *led);
 /* Number of runs that hold capacity. */
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -3,9 +3,12 @@
 
 #include "request/pool.h"
 
-/* First and longest pause of an agent that returns work. */
-#define HOLD_MS	    100
-#define HOLD_MAX_MS 2000
+/*
+ * First and longest pause of an agent that returns tasks without running them;
+ * each pause is twice as long as the one before.
+ */
+#define MIN_PAUSE_MS 100
+#define MAX_PAUSE_MS 2000
 
 struct member {
 	void *agent;
@@ -16,8 +19,8 @@
 	uint32_t cores;
 	uint64_t memory_mb;
 	bool up;
-	int64_t hold_ms;       /* length of the next pause */
-	int64_t held_until_ms; /* 0: not paused */
+	int64_t pause_ms;	 /* length of the next pause */
+	int64_t paused_until_ms; /* 0: not paused */
 };
 
 struct pool {
@@ -37,7 +40,6 @@
 	g_free(m);
 }
 
-/* Makes an empty pool. */
 struct pool *
 pool_new(const struct pool_options *opts)
 {
@@ -49,7 +51,6 @@
 	return pool;
 }
 
-/* Frees the pool, not the agents. */
 void
 pool_free(struct pool *pool)
 {
@@ -63,7 +64,7 @@
 {
 	const struct cfg *cfg = fresh_config(pool->opts.fresh);
 
-	return m->up && m->held_until_ms == 0 && cfg != NULL &&
+	return m->up && m->paused_until_ms == 0 && cfg != NULL &&
 	       !cfg_is_out(cfg, CFG_FAILURE_DOMAIN, m->failure_domain) &&
 	       !cfg_is_out(cfg, CFG_WORKER, m->name) &&
 	       !cfg_is_out(cfg, CFG_SERVICE, m->service) &&
@@ -77,7 +78,6 @@
 	    pool->opts.place, m->place_id, is_usable(pool, m, now_ms));
 }
 
-/* Applies out marks and lets agents back whose pause has ended. */
 void
 pool_refresh(struct pool *pool, int64_t now_ms)
 {
@@ -88,8 +88,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct member *m = value;
 
-		if (m->held_until_ms <= now_ms)
-			m->held_until_ms = 0;
+		if (m->paused_until_ms <= now_ms)
+			m->paused_until_ms = 0;
 		refresh(pool, m, now_ms);
 	}
 }
@@ -106,7 +106,7 @@
 	m->service = g_strdup(worker->service);
 	m->cores = worker->cores;
 	m->memory_mb = worker->memory_mb;
-	m->hold_ms = HOLD_MS;
+	m->pause_ms = MIN_PAUSE_MS;
 	m->place_id = place_add(pool->opts.place, worker, now_ms);
 	ej_add(pool->opts.eject, m->place_id, worker->service);
 	g_hash_table_insert(pool->agents, agent, m);
@@ -121,10 +121,6 @@
 	       m->cores == worker->cores && m->memory_mb == worker->memory_mb;
 }
 
-/*
- * Notes a connected agent with an endpoint.  A change of its service or size
- * starts its history anew; its name and failure domain never change.
- */
 void
 pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
     int64_t now_ms)
@@ -141,7 +137,6 @@
 	refresh(pool, m, now_ms);
 }
 
-/* Stops placing on an agent. */
 void
 pool_down(struct pool *pool, void *agent)
 {
@@ -153,7 +148,6 @@
 	place_set_usable(pool->opts.place, m->place_id, false);
 }
 
-/* Forgets an agent. */
 void
 pool_gone(struct pool *pool, void *agent)
 {
@@ -167,7 +161,6 @@
 	g_hash_table_remove(pool->agents, agent);
 }
 
-/* Takes the load that an agent reported. */
 void
 pool_load(struct pool *pool, void *agent, const struct place_load *load,
     uint32_t unseen, int64_t now_ms)
@@ -179,7 +172,6 @@
 		    pool->opts.place, m->place_id, load, unseen, now_ms);
 }
 
-/* Chooses the agent for a task, by the placement policy. */
 void *
 pool_choose(struct pool *pool, const struct place_task *task,
     uint32_t *place_id, int64_t now_ms)
@@ -194,11 +186,14 @@
 		return NULL;
 	place_dispatched(pool->opts.place, *place_id, task, now_ms);
 	ej_started(pool->opts.eject, *place_id, now_ms);
-	refresh(pool, m, now_ms); /* a probe is a single start */
+	refresh(pool, m, now_ms); /* a probe makes the agent unusable */
 	return m->agent;
 }
 
-/* NULL when the agent has changed its service or size meanwhile. */
+/*
+ * Returns NULL when the agent's service or size has changed since place_id was
+ * assigned.
+ */
 static struct member *
 find(struct pool *pool, void *agent, uint32_t place_id)
 {
@@ -207,26 +202,27 @@
 	return m != NULL && m->place_id == place_id ? m : NULL;
 }
 
-/* An agent that returns work would be chosen again at once. */
+/*
+ * Pauses an agent that returned a task, since it would be chosen again at once.
+ */
 static void
-hold(struct member *m, int64_t now_ms)
+pause_agent(struct member *m, int64_t now_ms)
 {
-	if (m->held_until_ms != 0)
+	if (m->paused_until_ms != 0)
 		return;
-	m->held_until_ms = now_ms + m->hold_ms;
-	m->hold_ms = MIN(m->hold_ms * 2, HOLD_MAX_MS);
+	m->paused_until_ms = now_ms + m->pause_ms;
+	m->pause_ms = MIN(m->pause_ms * 2, MAX_PAUSE_MS);
 }
 
 static void
-not_started(struct pool *pool, struct member *m, const struct place_task *task,
-    int64_t now_ms)
+undo_dispatch(struct pool *pool, struct member *m,
+    const struct place_task *task, int64_t now_ms)
 {
 	place_finished(
 	    pool->opts.place, m->place_id, task, PLACE_NOT_STARTED, 0, now_ms);
 	ej_not_started(pool->opts.eject, m->place_id);
 }
 
-/* Undoes pool_choose(). */
 void
 pool_unsent(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, int64_t now_ms)
@@ -235,8 +231,8 @@
 
 	if (m == NULL)
 		return;
-	not_started(pool, m, task, now_ms);
-	hold(m, now_ms);
+	undo_dispatch(pool, m, task, now_ms);
+	pause_agent(m, now_ms);
 	refresh(pool, m, now_ms);
 }
 
@@ -248,19 +244,18 @@
 }
 
 static void
-ran(struct pool *pool, struct member *m, const struct place_task *task,
+record_run(struct pool *pool, struct member *m, const struct place_task *task,
     const wire_result *result, int64_t now_ms)
 {
-	/* A 4xx is the caller's fault and says nothing about the worker. */
+	/* A 4xx status is the caller's fault, not the worker's. */
 	bool ok = result->outcome == WIRE_DONE && result->status < 500;
 
 	place_finished(pool->opts.place, m->place_id, task,
 	    ok ? PLACE_OK : PLACE_FAILED, result->run_us, now_ms);
 	ej_outcome(pool->opts.eject, m->place_id, !ok, now_ms);
-	m->hold_ms = HOLD_MS;
+	m->pause_ms = MIN_PAUSE_MS;
 }
 
-/* Takes the outcome of a start. */
 void
 pool_outcome(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, const wire_result *result, int64_t now_ms)
@@ -270,11 +265,11 @@
 	if (m == NULL)
 		return;
 	if (result->outcome == WIRE_NOT_STARTED) {
-		not_started(pool, m, task, now_ms);
+		undo_dispatch(pool, m, task, now_ms);
 		if (is_agents_fault(result->reason))
-			hold(m, now_ms);
+			pause_agent(m, now_ms);
 	} else {
-		ran(pool, m, task, result, now_ms);
+		record_run(pool, m, task, result, now_ms);
 	}
 	refresh(pool, m, now_ms);
 }
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -10,9 +10,9 @@
 #include "version/fresh.h"
 
 /*
- * The agents that an entry may place on: which are usable now, from the out
- * marks, their connections, ejection, and pauses after returned work.  An
- * agent is an opaque pointer.
+ * The agents that an entry may send tasks to, and which of them are usable now:
+ * connected, not marked out, not ejected, and not paused after returning tasks.
+ * An agent is an opaque pointer.
  */
 struct pool;
 
@@ -25,24 +25,27 @@
 struct pool *pool_new(const struct pool_options *opts);
 void pool_free(struct pool *pool);
 
-/* Adds an agent, or replaces what is known of it. */
+/*
+ * Adds a connected agent with an endpoint, or updates it.  When its service or
+ * size has changed, its measurements are dropped; its name and failure domain
+ * never change.
+ */
 void pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
     int64_t now_ms);
-/* A disconnected agent gets no work. */
 void pool_down(struct pool *pool, void *agent);
 void pool_gone(struct pool *pool, void *agent);
 void pool_load(struct pool *pool, void *agent, const struct place_load *load,
     uint32_t unseen, int64_t now_ms);
-/* Checks again which agents are usable. */
+/* Applies out marks, ends of pauses and ejections. */
 void pool_refresh(struct pool *pool, int64_t now_ms);
 
 /*
- * Chooses an agent and counts the task there; NULL: none can take it now.
- * place_id goes with the agent into the calls below.
+ * Chooses an agent by the placement policy and counts the task there; NULL when
+ * none can take it now.  place_id goes with the agent into the calls below.
  */
 void *pool_choose(struct pool *pool, const struct place_task *task,
     uint32_t *place_id, int64_t now_ms);
-/* The task was not sent after all; the agent gets a pause. */
+/* Undoes pool_choose() for a task that could not be sent; pauses the agent. */
 void pool_unsent(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, int64_t now_ms);
 void pool_outcome(struct pool *pool, void *agent, uint32_t place_id,
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -2,14 +2,14 @@
 
 #include "request/retry.h"
 
-#define WHOLE 100 /* budget units of one retry; a request earns percent */
+#define UNITS_PER_RETRY 100 /* a request adds "percent" of them */
 
 struct retry {
 	struct rty_options opts;
 	uint64_t budget;
 };
 
-/* Makes a budget that starts empty. */
+/* The budget starts empty. */
 struct retry *
 rty_new(const struct rty_options *opts)
 {
@@ -19,22 +19,19 @@
 	return retry;
 }
 
-/* Frees the budget. */
 void
 rty_free(struct retry *retry)
 {
 	g_free(retry);
 }
 
-/* Counts a new request, which is no retry itself. */
 void
 rty_request(struct retry *retry)
 {
 	retry->budget = MIN(retry->budget + retry->opts.percent,
-	    (uint64_t)retry->opts.burst * WHOLE);
+	    (uint64_t)retry->opts.burst * UNITS_PER_RETRY);
 }
 
-/* Decides whether an attempt with this outcome may be followed by another. */
 bool
 rty_allow(struct retry *retry, const struct rty_attempt *attempt)
 {
@@ -42,8 +39,8 @@
 		return true;
 	if (!attempt->idempotent || attempt->answer_begun ||
 	    attempt->attempts >= retry->opts.max_attempts ||
-	    retry->budget < WHOLE)
+	    retry->budget < UNITS_PER_RETRY)
 		return false;
-	retry->budget -= WHOLE;
+	retry->budget -= UNITS_PER_RETRY;
 	return true;
 }
--- a/src/request/runqueue.c
+++ b/src/request/runqueue.c
@@ -10,7 +10,6 @@
 	uint32_t running;
 };
 
-/* Makes an empty queue. */
 struct rq *
 rq_new(const struct rq_options *opts)
 {
@@ -21,7 +20,6 @@
 	return rq;
 }
 
-/* Frees the queue, not the tasks in it. */
 void
 rq_free(struct rq *rq)
 {
@@ -32,8 +30,9 @@
 }
 
 /*
- * Why a task can't start while the gate stays as it is.  A stale
- * configuration is no such reason: it may be confirmed again in time.
+ * Returns why a task can't start while the gate stays as it is.  A
+ * configuration that is not fresh is no reason to return a task, since it may
+ * be confirmed again before the deadline.
  */
 static enum wire_reason
 refusal(const struct rq_task *task, const struct rq_gate *gate, int64_t now_ms)
@@ -49,7 +48,6 @@
 	return WIRE_REASON_NONE;
 }
 
-/* Queues a task unless it is already known that it can't run. */
 enum wire_reason
 rq_push(struct rq *rq, struct rq_task *task, const struct rq_gate *gate,
     int64_t now_ms)
@@ -60,7 +58,10 @@
 
 	if (reason != WIRE_REASON_NONE)
 		return reason;
-	/* Tasks of one batch pass through the queue to the free slots. */
+	/*
+	 * All tasks of a batch are queued before any is started, so the free
+	 * slots count towards the limit.
+	 */
 	if (in_use < gate->slots)
 		limit += gate->slots - in_use;
 	if (rq->queue.length >= limit ||
@@ -81,7 +82,6 @@
 	return task;
 }
 
-/* Takes the next task that must be returned or can be started. */
 struct rq_task *
 rq_step(struct rq *rq, const struct rq_gate *gate, int64_t now_ms,
     enum wire_reason *reason)
@@ -101,7 +101,7 @@
 	return take(rq, rq->queue.head);
 }
 
-/* Notes that a task returned by rq_step() for a start has ended. */
+/* Records the end of a task that rq_step() returned for a start. */
 void
 rq_finished(struct rq *rq)
 {
@@ -109,7 +109,6 @@
 		rq->running--;
 }
 
-/* Removes a queued task; a running one is not touched. */
 struct rq_task *
 rq_withdraw(struct rq *rq, uint64_t entry, uint64_t seq)
 {
@@ -124,7 +123,6 @@
 	return NULL;
 }
 
-/* Removes the first queued task of an entry incarnation. */
 struct rq_task *
 rq_drop(struct rq *rq, uint64_t entry)
 {
@@ -139,21 +137,19 @@
 	return NULL;
 }
 
-/* Returns the number of tasks that wait. */
 uint32_t
 rq_queued(const struct rq *rq)
 {
 	return rq->queue.length;
 }
 
-/* Returns the number of tasks that run. */
 uint32_t
 rq_running(const struct rq *rq)
 {
 	return rq->running;
 }
 
-/* Describes the load for entries. */
+/* Sets the load that is reported to entries. */
 void
 rq_load(const struct rq *rq, const struct rq_gate *gate, struct wire_load *load)
 {
--- a/src/request/speed.h
+++ b/src/request/speed.h
@@ -4,28 +4,28 @@
 #include <stdint.h>
 
 /*
- * Learned run times: how far tasks of a queue are from their estimates, and
- * how slow each worker is.  Logarithms of ratios, so that long tasks do not
- * dominate.  Plain data.
+ * Run times learned from outcomes: how far the tasks of a queue are from their
+ * estimates, and how slow each worker is.  Means are of logarithms of ratios,
+ * so that long tasks do not dominate.  Plain data.
  */
 struct spd_mean {
 	double value;
 	uint32_t samples;
 };
 
-/* Of a queue: run time over estimate on a worker of speed 1. */
+/* Of a queue: run time over estimate, on a worker of average speed. */
 struct spd_queue {
 	struct spd_mean log_ratio;
 };
 
-/* Of a worker, or of all workers of one kind. */
+/* Of a worker, or of all workers of one kind, which is their first label. */
 struct spd_worker {
 	struct spd_mean log_slowness;
 };
 
 void spd_measure(struct spd_queue *queue, struct spd_worker *worker,
     struct spd_worker *kind, int64_t run_ms, int64_t estimate_ms);
-/* Run time over estimate on a worker of speed 1. */
+/* Expected run time over estimate, on a worker of average speed. */
 double spd_queue_ratio(const struct spd_queue *queue);
 double spd_run_ms(const struct spd_queue *queue,
     const struct spd_worker *worker, const struct spd_worker *kind,
--- a/src/request/workerset.c
+++ b/src/request/workerset.c
@@ -3,12 +3,12 @@
 
 #include "request/workerset.h"
 
-/* A worker that was usable this recently is expected back. */
-#define RETURN_MS 2000
+/* A worker that was usable less than this time ago is expected to return. */
+#define EXPECTED_RETURN_MS 2000
 
 struct wks {
 	GPtrArray *workers;	 /* struct wks_worker */
-	GHashTable *kind_speeds; /* labels to struct spd_worker */
+	GHashTable *kind_speeds; /* first label to struct spd_worker */
 	bool (*is_out)(const char *domain, void *ctx);
 	void *is_out_ctx;
 };
@@ -36,7 +36,6 @@
 	return set;
 }
 
-/* Frees the set and its workers. */
 void
 wks_free(struct wks *set)
 {
@@ -57,7 +56,6 @@
 	return speed;
 }
 
-/* Adds a worker that is not described yet. */
 struct wks_worker *
 wks_add(struct wks *set, void *link)
 {
@@ -76,7 +74,7 @@
 	g_ptr_array_remove(set->workers, w);
 }
 
-/* A new incarnation starts without the speed and health of the former. */
+/* A new incarnation starts without the learned speed and health. */
 void
 wks_describe(
     struct wks *set, struct wks_worker *w, const struct wks_description *d)
@@ -106,8 +104,8 @@
 }
 
 /*
- * Takes the room that a worker reports.  It may not count the latest starts;
- * an excess is queued at the worker for a short time.
+ * The reported room may not include the latest starts.  Starts beyond it are
+ * queued at the worker for a short time.
  */
 void
 wks_set_room(struct wks_worker *w, const struct wk_size *room, bool accepting,
@@ -116,7 +114,7 @@
 	w->room = *room;
 	w->accepting = accepting;
 	if (accepting && !w->draining)
-		w->usable_ms = now_ms;
+		w->last_usable_ms = now_ms;
 }
 
 void
@@ -168,17 +166,17 @@
 		   wks_has_label(w, step->required_label));
 }
 
-/* Whether tasks can be sent to the worker now or, as it seems, soon. */
+/* Whether tasks can be sent to the worker now, or probably soon. */
 static bool
 may_return(const struct wks *set, const struct wks_worker *w, int64_t now_ms)
 {
 	if (is_out(set, w))
 		return false;
 	return (w->described && w->accepting && !w->draining) ||
-	       (w->usable_ms != 0 && now_ms - w->usable_ms < RETURN_MS);
+	       (w->last_usable_ms != 0 &&
+		   now_ms - w->last_usable_ms < EXPECTED_RETURN_MS);
 }
 
-/* Says whether a worker of the service could run the step, or why none can. */
 enum wks_answer
 wks_check(const struct wks *set, const char *service,
     const struct wk_step *step, int64_t now_ms)
--- a/src/request/workerset.h
+++ b/src/request/workerset.h
@@ -10,13 +10,13 @@
 #include "request/work.h"
 
 /*
- * The workers that an entry knows: what they say of themselves, their room as
- * last reported, and what their tasks say of their speed and health.  Holds
+ * The workers that an entry knows: their descriptions, their free capacity as
+ * last reported, and their speed and health as learned from their tasks.  Holds
  * no sockets and reads no clock.
  */
 struct wks;
 
-/* What a worker says of itself; strings are copied. */
+/* What a worker reports of itself; strings are copied. */
 struct wks_description {
 	const char *name;
 	uint64_t incarnation;
@@ -30,45 +30,46 @@
 };
 
 struct wks_worker {
-	void *link; /* of the caller */
+	void *link; /* opaque, of the caller */
 	char *name;
 	char *service; /* NULL: never described */
 	char *failure_domain;
 	char **labels;
 	uint64_t incarnation;
 	struct wk_size capacity;
-	struct wk_size room; /* reported, less what was sent since */
+	struct wk_size
+	    room; /* free capacity reported, less that of later starts */
 	bool described;
 	bool accepting;
 	bool draining;
 	bool local;
 	bool unflushed;
-	int64_t usable_ms; /* when it last took tasks, 0: never */
+	int64_t
+	    last_usable_ms; /* when it was last able to take tasks, 0: never */
 	struct spd_worker speed;
 	struct spd_worker *kind;
-	uint32_t open; /* tasks sent and without an outcome */
+	uint32_t open; /* tasks sent that have no outcome */
 	struct hlt health;
 };
 
-/* Whether the workers of a service could run a step. */
+/* Result of a search for a worker of a service that could run a step. */
 enum wks_answer {
-	WKS_USABLE,    /* one can now or, as it seems, soon */
-	WKS_NONE,      /* none that could run it is usable */
-	WKS_TOO_LARGE, /* the step asks more than any known worker has */
-	WKS_UNKNOWN    /* no worker of the service was ever described */
+	WKS_USABLE,    /* one can now, or probably soon */
+	WKS_NONE,      /* some could run it, but none is usable */
+	WKS_TOO_LARGE, /* the step needs more than any known worker has */
+	WKS_UNKNOWN    /* no worker of the service has been described */
 };
 
 struct wks *wks_new(void);
 void wks_free(struct wks *set);
 
 struct wks_worker *wks_add(struct wks *set, void *link);
-/* Frees the worker. */
 void wks_remove(struct wks *set, struct wks_worker *worker);
 void wks_describe(struct wks *set, struct wks_worker *worker,
     const struct wks_description *description);
 void wks_set_room(struct wks_worker *worker, const struct wk_size *room,
     bool accepting, int64_t now_ms);
-/* Whether a failure domain is out of service. */
+/* Sets the function that says whether a failure domain is out of service. */
 void wks_set_out(
     struct wks *set, bool (*is_out)(const char *domain, void *ctx), void *ctx);
 
@@ -77,7 +78,9 @@
 /* Whether tasks may be sent to the worker now. */
 bool wks_is_usable(const struct wks *set, const struct wks_worker *worker,
     const char *service);
-/* Whether the worker could run a task of the step when it has the room. */
+/*
+ * Whether the worker could run a task of the step with all its capacity free.
+ */
 bool wks_could_run(const struct wks_worker *worker, const struct wk_step *step);
 enum wks_answer wks_check(const struct wks *set, const char *service,
     const struct wk_step *step, int64_t now_ms);
