--- a/src/request/health.h
+++ b/src/request/health.h
@@ -13,7 +13,7 @@
  */
 struct hlt {
 	uint32_t n_failed_jobs; /* jobs that failed in a row */
-	double failure_rate;	/* of failures, weighted towards recent ones */
+	double failure_rate;	/* weighted towards recent outcomes */
 	int64_t failure_rate_ms;
 	int64_t backoff_ms;
 	int64_t paused_until_ms;
@@ -22,7 +22,7 @@
 void hlt_done(struct hlt *health, int64_t now_ms);
 /* Called once for each job whose tasks the worker fails. */
 void hlt_failed(struct hlt *health, int64_t now_ms);
-/* Records a refused start.  It does not count as a failure. */
+/* A refused start pauses the worker shortly; it does not count as a failure. */
 void hlt_refused(struct hlt *health, int64_t now_ms);
 
 bool hlt_is_ejected(const struct hlt *health);
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -186,7 +186,7 @@
 		return NULL;
 	place_dispatched(pool->opts.place, *place_id, task, now_ms);
 	ej_started(pool->opts.eject, *place_id, now_ms);
-	refresh(pool, m, now_ms); /* a probe makes the agent unusable */
+	refresh(pool, m, now_ms); /* an ejected agent gets one probe */
 	return m->agent;
 }
 
--- a/src/request/runqueue.c
+++ b/src/request/runqueue.c
@@ -30,9 +30,9 @@
 }
 
 /*
- * Returns why a task can't start while the gate stays as it is.  A
- * configuration that is not fresh is no reason to return a task, since it may
- * be confirmed again before the deadline.
+ * Returns why a task can't start under these conditions.  A configuration that
+ * is not fresh is no reason to return a task, since it may be confirmed again
+ * before the deadline.
  */
 static enum wire_reason
 refusal(const struct rq_task *task, const struct rq_gate *gate, int64_t now_ms)
--- a/src/request/speed.c
+++ b/src/request/speed.c
@@ -44,7 +44,7 @@
 	return estimate_ms > 0 ? (double)estimate_ms : DEFAULT_RUN_MS;
 }
 
-/* Learns from the run time of a task that ran to its end. */
+/* Learns from a measured run time, or from a projected one of a stopped run. */
 void
 spd_measure(struct spd_queue *queue, struct spd_worker *worker,
     struct spd_worker *kind, int64_t run_ms, int64_t estimate_ms)
--- a/tests/policy_replay.c
+++ b/tests/policy_replay.c
@@ -11,12 +11,12 @@
 struct worker {
 	char *name;
 	uint32_t id;
-	int64_t run_ms; /* of "serve" */
+	int64_t run_ms; /* run time in "serve" */
 	bool fails;
-	int64_t given; /* starts in the last "serve" */
+	int64_t n_starts; /* starts in the last "serve" */
 };
 
-struct flight {
+struct running_task {
 	struct worker *worker;
 	int64_t end_ms;
 };
@@ -33,13 +33,13 @@
 };
 
 static void
-differs(struct replay *r, const char *what, const char *got)
+report_mismatch(struct replay *r, const char *what, const char *got)
 {
 	r->failed++;
 	fprintf(stderr, "%s:%d: %s: got %s\n", r->file, r->line, what, got);
 }
 
-/* A line that can't be run stops the test program. */
+/* Aborts the test program at a line that can't be run. */
 static void
 malformed(const struct replay *r, const char *what)
 {
@@ -53,10 +53,10 @@
 
 	g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT, got);
 	if (want != got)
-		differs(r, what, text);
+		report_mismatch(r, what, text);
 }
 
-/* Value of the word "key=value" of the current line. */
+/* Value of the word "key=value" in the current line. */
 static const char *
 text_of(const struct replay *r, const char *key, const char *otherwise)
 {
@@ -220,7 +220,7 @@
 	const char *got = w == NULL ? "none" : w->name;
 
 	if (strcmp(got, word(r, 1)) != 0)
-		differs(r, "choose", got);
+		report_mismatch(r, "choose", got);
 }
 
 static void
@@ -252,58 +252,60 @@
 }
 
 static void
-land(struct replay *r, GArray *flights)
+finish_due(struct replay *r, GArray *running)
 {
 	guint i = 0;
 
-	while (i < flights->len) {
-		struct flight f = g_array_index(flights, struct flight, i);
+	while (i < running->len) {
+		struct running_task f =
+		    g_array_index(running, struct running_task, i);
 
 		if (f.end_ms > r->now_ms) {
 			i++;
 			continue;
 		}
-		g_array_remove_index(flights, i);
+		g_array_remove_index(running, i);
 		finish(r, f.worker, f.worker->fails ? PLACE_FAILED : PLACE_OK,
 		    f.worker->run_ms);
 	}
 }
 
-/* A task every gap ms, each ending when its worker says; none waits. */
+/* Starts a task every gap ms; drops it when no worker can take it. */
 static void
 do_serve(struct replay *r)
 {
-	GArray *flights = g_array_new(FALSE, FALSE, sizeof(struct flight));
+	GArray *running =
+	    g_array_new(FALSE, FALSE, sizeof(struct running_task));
 	struct place_task task = task_of(r);
 	int64_t n = number_of(r, "tasks", 100);
 	guint i;
 
 	for (i = 0; i < r->workers->len; i++)
-		((struct worker *)r->workers->pdata[i])->given = 0;
-	for (; n > 0 || flights->len > 0; n--) {
-		struct flight f = {0};
+		((struct worker *)r->workers->pdata[i])->n_starts = 0;
+	for (; n > 0 || running->len > 0; n--) {
+		struct running_task f = {0};
 
 		place_begin_pass(r->place, r->now_ms);
 		f.worker = n > 0 ? start(r, &task) : NULL;
 		if (f.worker != NULL) {
-			f.worker->given++;
+			f.worker->n_starts++;
 			f.end_ms = r->now_ms + f.worker->run_ms;
-			g_array_append_val(flights, f);
+			g_array_append_val(running, f);
 		}
 		r->now_ms += number_of(r, "gap", 10);
-		land(r, flights);
+		finish_due(r, running);
 	}
-	g_array_unref(flights);
+	g_array_unref(running);
 }
 
 static void
 do_given(struct replay *r)
 {
-	int64_t given = worker_of(r)->given;
+	int64_t n_starts = worker_of(r)->n_starts;
 
-	if (given < number_of(r, "min", 0) ||
-	    given > number_of(r, "max", INT64_MAX))
-		expect_number(r, "given", -1, given);
+	if (n_starts < number_of(r, "min", 0) ||
+	    n_starts > number_of(r, "max", INT64_MAX))
+		expect_number(r, "given", -1, n_starts);
 }
 
 static void
--- a/tests/policy_replay.h
+++ b/tests/policy_replay.h
@@ -2,10 +2,9 @@
 #define SP_TESTS_POLICY_REPLAY_H
 
 /*
- * Replays every tests/cases/<prefix>*.txt against place and eject.
- * Returns the number of lines that did not come out as written, after
- * printing them, and the number of files replayed.  The commands are listed
- * in tests/cases/policy-commands.txt.
+ * Replays every tests/cases/<prefix>*.txt against place and eject. Returns the
+ * number of lines whose result differs, after printing them, and the number of
+ * files replayed.  The commands are listed in tests/cases/policy-commands.txt.
  */
 int policy_replay_all(const char *prefix, int *files);
 
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -12,10 +12,10 @@
 
 struct agent {
 	char name[4];
-	bool broken; /* nothing can be sent */
+	bool broken; /* every send fails */
 };
 
-struct world {
+struct fixture {
 	struct ctr_registry *counters;
 	struct ident *ids;
 	struct job_table *table;
@@ -29,13 +29,13 @@
 	struct agent agents[MAX_AGENTS];
 	int64_t now_ms;
 	uint64_t version;
-	GString *log; /* what was sent and ended */
+	GString *log; /* messages sent and jobs ended */
 };
 
 static bool
 send_starts(void *agent, const wire_start *starts, size_t n, void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 	struct agent *a = agent;
 	size_t i;
 
@@ -52,7 +52,7 @@
 static void
 send_withdraw(void *agent, const uint64_t *seqs, size_t n, void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 	size_t i;
 
 	g_string_append_printf(
@@ -71,7 +71,7 @@
 static void
 on_ended(struct job *job, void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	g_string_append_printf(w->log, " %s:", job_id(job));
 	if (job_state(job) == JOB_COMPLETE)
@@ -81,9 +81,9 @@
 		    job_cause_name(job_cause(job)), job_ran_name(job_ran(job)));
 }
 
-/* Takes a configuration in which the given domain, if any, is out. */
+/* Applies a configuration that marks the given domain, if any, out. */
 static void
-configure(struct world *w, const char *out)
+configure(struct fixture *w, const char *out)
 {
 	struct cfg_out mark = {CFG_FAILURE_DOMAIN, out};
 	struct cfg_parts parts = {
@@ -107,7 +107,7 @@
 }
 
 static void
-make_dispatch(struct world *w)
+make_dispatch(struct fixture *w)
 {
 	struct place_options place = {
 	    .policy = PLACE_EARLIEST_FINISH, .failure_domain = "x"};
@@ -141,7 +141,7 @@
 start(void)
 {
 	static const uint8_t key[ID_KEY_BYTES];
-	struct world *w = g_new0(struct world, 1);
+	struct fixture *w = g_new0(struct fixture, 1);
 	struct job_options jobs = {.max_jobs = 100,
 	    .max_answer_bytes = 100,
 	    .max_bytes = 10000,
@@ -162,7 +162,7 @@
 static void
 end(void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 	int i;
 
 	dsp_free(w->dispatch);
@@ -182,9 +182,9 @@
 	g_free(w);
 }
 
-/* Queues a job of tasks whose times and sizes are given. */
+/* Submits a job of the given tasks. */
 static void
-put(struct world *w, struct job_spec *spec, struct job_task_spec *tasks)
+put_job(struct fixture *w, struct job_spec *spec, struct job_task_spec *tasks)
 {
 	struct job *job;
 	uint32_t i;
@@ -202,9 +202,9 @@
 	dsp_submit(w->dispatch, job);
 }
 
-/* submit ID TASKS DEADLINE [get|post]: the last makes a single request. */
+/* submit ID TASKS DEADLINE [get|post]: a method makes it passed through. */
 static void
-submit(struct world *w, char **words)
+submit(struct fixture *w, char **words)
 {
 	struct job_task_spec tasks[MAX_TASKS] = {0};
 	struct job_spec spec = {.id = words[1],
@@ -217,12 +217,12 @@
 		spec.method = words[4];
 		spec.idempotent = strcmp(words[4], "get") == 0;
 	}
-	put(w, &spec, tasks);
+	put_job(w, &spec, tasks);
 }
 
 /* tasks ID DEADLINE COUNTxRUN_MS:MEMORY_MB ... */
 static void
-submit_tasks(struct world *w, char **words)
+submit_tasks(struct fixture *w, char **words)
 {
 	struct job_task_spec tasks[MAX_TASKS] = {0};
 	struct job_spec spec = {.id = words[1],
@@ -238,12 +238,12 @@
 			tasks[spec.n_tasks++].memory_mb = (uint64_t)memory_mb;
 		}
 	}
-	put(w, &spec, tasks);
+	put_job(w, &spec, tasks);
 }
 
 /* done|unknown|unstarted AGENT SEQ [STATUS|REASON] */
 static void
-outcome(struct world *w, char **words)
+outcome(struct fixture *w, char **words)
 {
 	wire_result result;
 	int last = words[3] != NULL ? atoi(words[3]) : 0;
@@ -268,7 +268,7 @@
 
 /* agent N DOMAIN SLOTS [MEMORY_MB] */
 static void
-agent_up(struct world *w, char **words)
+agent_up(struct fixture *w, char **words)
 {
 	struct agent *a = &w->agents[atoi(words[1])];
 	struct place_worker worker = {.name = a->name,
@@ -283,7 +283,7 @@
 }
 
 static bool
-step_world(struct world *w, char **words)
+step_fixture(struct fixture *w, char **words)
 {
 	const char *name = words[0];
 
@@ -310,7 +310,7 @@
 static void
 step(void *ctx, char **words, GString *actual)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	if (strcmp(words[0], "submit") == 0)
 		submit(w, words);
@@ -324,7 +324,7 @@
 		g_string_append_printf(actual, "%u open %u waiting %d next",
 		    dsp_outstanding(w->dispatch), dsp_waiting(w->dispatch, "s"),
 		    (int)dsp_next_seq(w->dispatch));
-	else if (!step_world(w, words))
+	else if (!step_fixture(w, words))
 		outcome(w, words);
 	g_string_append(actual, w->log->str);
 	g_string_truncate(w->log, 0);
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -7,12 +7,12 @@
 
 #define MAX_JOBS 16
 
-struct world {
+struct fixture {
 	struct ident *ids;
 	struct job_table *table;
 	struct job *jobs[MAX_JOBS]; /* references, by counter */
 	int64_t now_ms;
-	GString *told;
+	GString *notified;
 	uint64_t waiter;
 };
 
@@ -20,7 +20,7 @@
 start(void)
 {
 	static const uint8_t key[ID_KEY_BYTES];
-	struct world *w = g_new0(struct world, 1);
+	struct fixture *w = g_new0(struct fixture, 1);
 	struct job_options opts = {
 	    .max_jobs = 3,
 	    .max_answer_bytes = 100,
@@ -31,14 +31,14 @@
 
 	w->ids = opts.ids = id_new(1, key);
 	w->table = job_table_new(&opts);
-	w->told = g_string_new(NULL);
+	w->notified = g_string_new(NULL);
 	return w;
 }
 
 static void
 end(void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 	int i;
 
 	job_table_free(w->table);
@@ -47,12 +47,12 @@
 			job_unref(w->jobs[i]);
 	}
 	id_free(w->ids);
-	g_string_free(w->told, TRUE);
+	g_string_free(w->notified, TRUE);
 	g_free(w);
 }
 
 static const char *
-put(struct world *w, char **words)
+put(struct fixture *w, char **words)
 {
 	static const char *const names[] = {
 	    "created", "same", "conflict", "expired", "full"};
@@ -108,18 +108,18 @@
 }
 
 static void
-on_told(struct job *job, void *ctx)
+on_finished(struct job *job, void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
-	g_string_append_printf(w->told, " told:%s:%s", job_id(job),
+	g_string_append_printf(w->notified, " told:%s:%s", job_id(job),
 	    job_state(job) == JOB_COMPLETE ? "complete" : "failed");
 }
 
 static bool
-wait_for(struct world *w, struct job *job)
+wait_for(struct fixture *w, struct job *job)
 {
-	uint64_t waiter = job_wait(job, on_told, w);
+	uint64_t waiter = job_wait(job, on_finished, w);
 
 	if (waiter != 0)
 		w->waiter = waiter;
@@ -127,7 +127,7 @@
 }
 
 static bool
-finish_task(struct world *w, struct job *job, char **words)
+finish_task(struct fixture *w, struct job *job, char **words)
 {
 	static const char body[200] = "";
 	uint32_t task = (uint32_t)atoi(words[2]);
@@ -146,7 +146,7 @@
 }
 
 static void
-fail_job(struct world *w, struct job *job, const char *cause)
+fail_job(struct fixture *w, struct job *job, const char *cause)
 {
 	job_fail(job,
 	    strcmp(cause, "deadline") == 0 ? JOB_CAUSE_DEADLINE
@@ -155,7 +155,7 @@
 }
 
 static void
-step_job(struct world *w, char **words, GString *actual)
+step_job(struct fixture *w, char **words, GString *actual)
 {
 	struct job *job = w->jobs[atoi(words[1])];
 
@@ -177,14 +177,14 @@
 		job_unwait(job, w->waiter);
 	else if (!finish_task(w, job, words))
 		g_string_append(actual, "dropped");
-	g_string_append(actual, w->told->str);
-	g_string_truncate(w->told, 0);
+	g_string_append(actual, w->notified->str);
+	g_string_truncate(w->notified, 0);
 }
 
 static void
 step(void *ctx, char **words, GString *actual)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	if (strcmp(words[0], "at") == 0) {
 		w->now_ms = atoi(words[1]);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -36,7 +36,7 @@
 }
 
 static void
-say(struct trace *t, const char *fmt, ...)
+emit(struct trace *t, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -61,25 +61,25 @@
 on_start(const char *task, const char *spec, int64_t run, void *ctx)
 {
 	(void)spec;
-	say(ctx, "start:%s.%d", task, (int)run);
+	emit(ctx, "start:%s.%d", task, (int)run);
 }
 
 static void
 on_stop(const char *task, int64_t run, void *ctx)
 {
-	say(ctx, "stop:%s.%d", task, (int)run);
+	emit(ctx, "stop:%s.%d", task, (int)run);
 }
 
 static void
 on_look(void *ctx)
 {
-	say(ctx, "look");
+	emit(ctx, "look");
 }
 
 static void
 on_result(const struct led_result *result, void *ctx)
 {
-	say(ctx, "%d/%d:%s", (int)result->session, (int)result->seq,
+	emit(ctx, "%d/%d:%s", (int)result->session, (int)result->seq,
 	    outcomes[result->outcome]);
 }
 
@@ -215,13 +215,13 @@
 		led_worker_lost(t->led, "lost", t->now_ms);
 	else if (strcmp(w[0], "room") == 0) {
 		led_room(t->led, &size);
-		say(t, "%d", (int)size.cpu_milli);
+		emit(t, "%d", (int)size.cpu_milli);
 	} else
 		ck_abort_msg("command %s", w[0]);
 }
 
 /*
- * A trace fails when the worker is started over its capacity, a task runs
- * twice at once, or room is given back while a start may still be carried out.
+ * Guards against starts beyond the worker's capacity, two runs of a task at
+ * once, and capacity freed while a start may still be carried out.
  */
 REPLAY_MAIN("ledger", 0, start, end, step)
--- a/tests/test_runqueue.c
+++ b/tests/test_runqueue.c
@@ -132,5 +132,5 @@
 		ck_abort_msg("command %s", words[0]);
 }
 
-/* A trace fails when a task starts that must not, or is not returned. */
+/* Guards against starting a task that must not run or not returning it. */
 REPLAY_MAIN("runqueue", 0, start, end, step)
--- a/tests/test_sched.c
+++ b/tests/test_sched.c
@@ -5,9 +5,9 @@
 #include "request/sched.h"
 #include "runner.h"
 
-#define RESOLVE_MS 1300
-/* Traces begin when the process has run for long; "at" counts from then. */
-#define START_MS 100000
+#define LOST_RUN_TIMEOUT_MS 1300
+/* Cases begin when the process has run for long; "at" counts from then. */
+#define CASE_START_MS 100000
 
 struct link {
 	char *name;
@@ -32,7 +32,7 @@
     "accepted", "no_workers", "too_large", "overloaded", "backlog", "unserved"};
 
 static void
-say(struct trace *t, const char *fmt, ...)
+emit(struct trace *t, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -50,7 +50,7 @@
 
 	if (link->broken)
 		return false;
-	say(ctx, "%s<%s.%u.%u#%d", link->name, s->job, s->step, s->index,
+	emit(ctx, "%s<%s.%u.%u#%d", link->name, s->job, s->step, s->index,
 	    (int)s->seq);
 	((struct trace *)ctx)->expected_ms = s->expected_ms;
 	return true;
@@ -68,7 +68,7 @@
 {
 	struct link *link = data;
 
-	say(ctx, "cancel:%s#%d", link->name, (int)seq);
+	emit(ctx, "cancel:%s#%d", link->name, (int)seq);
 }
 
 static void
@@ -85,7 +85,7 @@
 {
 	(void)waiter;
 	(void)reason;
-	say(ctx, "%s=%s", job, ends[end]);
+	emit(ctx, "%s=%s", job, ends[end]);
 }
 
 static bool
@@ -111,7 +111,7 @@
 	struct trace *t = g_new0(struct trace, 1);
 	struct sch_options opts = {
 	    .cross_rack_factor = 1.5,
-	    .resolve_ms = RESOLVE_MS,
+	    .resolve_ms = LOST_RUN_TIMEOUT_MS,
 	    .max_jobs = 8,
 	    .start = on_start,
 	    .flush = on_flush,
@@ -121,7 +121,7 @@
 	    .ctx = t,
 	};
 
-	t->now_ms = START_MS;
+	t->now_ms = CASE_START_MS;
 	t->sch = sch_new(&opts);
 	sch_tick(t->sch, 1);
 	t->links =
@@ -157,7 +157,7 @@
 	return link;
 }
 
-/* worker NAME CPU DOMAIN KIND: adds or describes it, with all its room. */
+/* worker NAME CPU DOMAIN KIND: adds or describes it, with its capacity free. */
 static void
 worker(struct trace *t, char **w)
 {
@@ -232,7 +232,7 @@
 	verdict = sch_submit(t->sch, &request, t->now_ms);
 	if (verdict == SCH_ACCEPTED)
 		return;
-	say(t, "%s", verdicts[verdict]);
+	emit(t, "%s", verdicts[verdict]);
 	wk_job_free(spec);
 }
 
@@ -256,7 +256,7 @@
 
 	t->actual = actual;
 	if (strcmp(w[0], "at") == 0) {
-		t->now_ms = START_MS + number(w[1]);
+		t->now_ms = CASE_START_MS + number(w[1]);
 		sch_tick(t->sch, t->now_ms);
 	} else if (strcmp(w[0], "worker") == 0)
 		worker(t, w);
@@ -286,17 +286,17 @@
 	else if (strcmp(w[0], "give_up") == 0)
 		sch_give_up_all(t->sch, "");
 	else if (strcmp(w[0], "expected") == 0)
-		say(t, "%d", (int)t->expected_ms);
+		emit(t, "%d", (int)t->expected_ms);
 	else if (strcmp(w[0], "waiting") == 0)
-		say(t, sch_is_waiting(t->sch) ? "yes" : "no");
+		emit(t, sch_is_waiting(t->sch) ? "yes" : "no");
 	else if (strcmp(w[0], "pending") == 0)
-		say(t, "%u", sch_pending(t->sch, "q"));
+		emit(t, "%u", sch_pending(t->sch, "q"));
 	else
 		ck_abort_msg("command %s", w[0]);
 }
 
 /*
- * A trace fails when a task is sent where it must not run, is sent again
- * before its former run has ended, or a refused job has run.
+ * Guards against sending a task where it must not run or before its former run
+ * has ended, and against running a job that was refused.
  */
 REPLAY_MAIN("sched", 0, start, end, step)
