--- a/src/request/batch.c
+++ b/src/request/batch.c
@@ -2,7 +2,7 @@
 
 #include "request/batch.h"
 
-#define MAX_BATCH_BYTES	     1048576U /* well below the limit of an RPC */
+#define MAX_BATCH_BYTES	     1048576U /* well below the RPC record limit */
 #define START_OVERHEAD_BYTES 512
 
 /*
--- a/src/request/batch.h
+++ b/src/request/batch.h
@@ -16,9 +16,7 @@
 	size_t bytes;
 };
 
-/*
- * Returns the agent's batch of several; adds an empty one when there is none.
- */
+/* Returns the agent's batch; adds an empty one when there is none. */
 struct batch *bat_get(GPtrArray *batches, void *agent);
 void bat_free(gpointer batch);
 /* Whether the batch must be sent before the start of this task is added. */
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -8,14 +8,14 @@
 struct dsp_job {
 	struct job *job;
 	struct queue *queue;
-	GList *link; /* in the queue, while tasks wait */
+	GList *link; /* in queue->jobs; NULL without waiting tasks */
 	GSequenceIter *timer;
 	int64_t timer_ms;
 	uint32_t counted; /* its share of queue->waiting */
 };
 
 struct queue {
-	GQueue jobs; /* struct dsp_job with waiting tasks, in order */
+	GQueue jobs; /* struct dsp_job with waiting tasks, oldest first */
 	uint32_t waiting;
 };
 
@@ -463,7 +463,7 @@
 
 /*
  * Does nothing while the configuration is not confirmed, since a newer one may
- * have a failure domain out of service.
+ * mark a failure domain out.
  */
 void
 dsp_run(struct dispatch *dsp, int64_t now_ms)
--- a/src/request/eject.h
+++ b/src/request/eject.h
@@ -24,8 +24,8 @@
 /* Not called for starts that were returned without running. */
 void ej_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms);
 /*
- * Records a start that was sent; after an interval of ejection it is the only
- * probe.
+ * Records a start that was sent.  After an ejection interval it is the probe,
+ * and no other start is allowed until the probe has an outcome.
  */
 void ej_started(struct eject *eject, uint32_t id, int64_t now_ms);
 /*
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -4,7 +4,7 @@
 #include "estimate.h"
 
 /*
- * Used for a task without declared run time until one of its service was
+ * Used for a task without declared run time until one of its service has been
  * measured.
  */
 #define DEFAULT_RUN_US 200000.0
@@ -17,7 +17,7 @@
  * Declared times are off by up to 10 times, so their means take more samples.
  */
 #define DECLARED_WEIGHT (1.0 / 1024)
-/* Number of samples from which on declared times are used. */
+/* Declared times are used from this number of samples on. */
 #define MIN_DECLARED_SAMPLES 32U
 #define MIN_VARIANCE	     1e-6
 /* With this many samples a worker's measured speed gets half the weight. */
--- a/src/request/health.h
+++ b/src/request/health.h
@@ -22,7 +22,7 @@
 void hlt_done(struct hlt *health, int64_t now_ms);
 /* Called once for each job whose tasks the worker fails. */
 void hlt_failed(struct hlt *health, int64_t now_ms);
-/* A refused start pauses the worker shortly; it does not count as a failure. */
+/* A refused start pauses the worker briefly and does not count as a failure. */
 void hlt_refused(struct hlt *health, int64_t now_ms);
 
 bool hlt_is_ejected(const struct hlt *health);
--- a/src/request/jobtask.h
+++ b/src/request/jobtask.h
@@ -12,7 +12,7 @@
 
 /* The tasks of an open job and their states. */
 
-/* Number of workers remembered per task that failed or lost it. */
+/* Limit of remembered workers per task that failed or lost it. */
 #define JT_MAX_FAILED_ON 4
 
 enum jt_state {
@@ -52,7 +52,7 @@
 	uint32_t max_attempts;
 	int64_t arrived_ms;
 	int64_t deadline_ms;
-	int64_t start_by_ms;	 /* objective is missed if not sent */
+	int64_t start_by_ms;	 /* objective is missed if sent later */
 	int64_t useful_until_ms; /* an answer is of no use later */
 	void *waiter;
 	struct jt_step *steps;
@@ -70,7 +70,7 @@
 
 /* Marks a task as done; returns true when it was the last of its job. */
 bool jt_mark_done(struct jt_task *task);
-/* Number of tasks of the step that the worker has. */
+/* Number of tasks of the step that are sent to the worker. */
 uint32_t jt_n_sent_to(
     const struct jt_job *job, uint32_t step, const struct wks_worker *worker);
 /* Counts the tasks in each state; counts has JT_N_STATES elements. */
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -31,7 +31,7 @@
 	QUEUED,
 	STARTING,
 	RUNNING,
-	STOPPING, /* a stop was sent, also when the start got no answer */
+	STOPPING, /* a stop was sent; also if the start got no answer */
 };
 
 struct run {
@@ -42,7 +42,7 @@
 	char *spec;
 	struct wk_size size;
 	uint32_t priority;
-	uint64_t order; /* order of arrival */
+	uint64_t order; /* number of the start in order of arrival */
 	int64_t start_by_ms;
 	int64_t number; /* run number given to the worker */
 	int64_t sent_ms;
@@ -50,7 +50,7 @@
 	int64_t stop_sent_ms;	   /* when a stop was last sent, 0: never */
 	int64_t stop_confirmed_ms; /* when the stop was confirmed, 0: not yet */
 	uint32_t renumbers;
-	const char *stop_reason; /* reason of the stop */
+	const char *stop_reason; /* why the run is being stopped */
 	int64_t expected_ms;
 	int64_t percent;    /* as last reported, -1: never */
 	int64_t changed_ms; /* worker's clock at its last change */
@@ -240,8 +240,8 @@
 }
 
 /*
- * Returns the queued start with this session and seq, or all of the session
- * when seq is 0, as not started.
+ * Returns as not started the queued start with this session and seq, or all
+ * those of the session when seq is 0.
  */
 static void
 refuse_matching(
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -70,7 +70,7 @@
 void led_set_run_floor(struct led *led, int64_t run);
 void led_set_capacity(struct led *led, const struct wk_size *capacity);
 
-/* Queues a start.  One that is refused gets its result during the call. */
+/* Queues a start.  A refused one gets its result during the call. */
 void led_submit(struct led *led, const struct led_start *start, int64_t now_ms);
 void led_cancel(
     struct led *led, uint64_t session, uint64_t seq, int64_t now_ms);
@@ -78,7 +78,7 @@
 void led_end_session(struct led *led, uint64_t session, int64_t now_ms);
 /* Returns every queued start as not started. */
 void led_return_queue(struct led *led, const char *reason, int64_t now_ms);
-/* Starts queued tasks that the free capacity allows. */
+/* Starts queued tasks that fit the free capacity, by priority. */
 void led_pump(struct led *led, int64_t now_ms);
 /* Repeats unconfirmed stops and returns queued starts whose time has passed. */
 void led_tick(struct led *led, int64_t now_ms);
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -32,9 +32,9 @@
 	uint32_t cores;
 	uint64_t memory_mb;
 	uint32_t reported; /* busy and queued in the last report */
-	uint32_t unseen;   /* own dispatches that the report omits */
+	uint32_t unseen;   /* own dispatches that it does not include */
 	uint32_t own;	   /* own dispatches that have not finished */
-	uint32_t reserved; /* by tasks of this pass that wait for a slot */
+	uint32_t reserved; /* slots reserved by waiting tasks of a pass */
 	int64_t report_ms;
 	int64_t progress_ms; /* when a task was last known to end */
 	struct est_worker estimate;
@@ -47,7 +47,7 @@
 	uint32_t ahead;
 	bool prefer_local;
 	bool in_pass;
-	int64_t now_ms; /* of the latest call */
+	int64_t now_ms; /* time of the latest call */
 	uint64_t random;
 	uint32_t next_id;
 	GHashTable *services; /* name to struct service */
@@ -151,9 +151,9 @@
 }
 
 /*
- * Expected time between two completions at a busy worker.  When none was seen
- * for more than a mean run time, the next is expected after as long again, so
- * that no task waits for a worker that hangs.
+ * Expected time between two completions at a busy worker.  After a mean run
+ * time without one, as much time again is expected as has passed, so that no
+ * task waits for a worker that hangs.
  */
 static double
 slot_gap_us(const struct place *place, const struct worker *w)
@@ -461,7 +461,9 @@
 	place->now_ms = now_ms;
 	if (service == NULL)
 		return PLACE_NONE;
-	/* Outside a pass, tasks behind one that waits are not tried. */
+	/*
+	 * Outside a pass the caller stops at the first task without a worker.
+	 */
 	if (place->policy == PLACE_EARLIEST_FINISH && place->in_pass)
 		return earliest_finish(place, service, task);
 	if (place->prefer_local) {
--- a/src/request/place.h
+++ b/src/request/place.h
@@ -19,7 +19,8 @@
 	PLACE_TWO_CHOICES,
 	PLACE_LEAST_WAIT,
 	/*
-	 * A task may wait for a faster worker; outside a pass like least wait.
+	 * A task may wait for a faster worker; same as least wait outside a
+	 * pass.
 	 */
 	PLACE_EARLIEST_FINISH
 };
@@ -67,7 +68,7 @@
 /* outstanding: dispatches of this entry that the load does not include. */
 void place_report(struct place *place, uint32_t id,
     const struct place_load *load, uint32_t outstanding, int64_t now_ms);
-/* An unusable worker (out, stale, disconnected) gets no work. */
+/* An unusable worker (out, stale, disconnected) gets no tasks. */
 void place_set_usable(struct place *place, uint32_t id, bool usable);
 
 /*
@@ -83,7 +84,7 @@
 bool place_has_room(const struct place *place, const char *service);
 /*
  * Expected run time of a task on an average worker.  The tasks of a job are
- * queued in falling order of it.
+ * queued longest first.
  */
 int64_t place_expected_run_us(
     const struct place *place, const struct place_task *task);
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -6,7 +6,7 @@
 #include "request/sched.h"
 
 /*
- * Starts of a task, whatever their outcomes, after which its job is ended, so
+ * Limit of starts per task, whatever their outcomes.  The job ends then, so
  * that a task that is lost or refused every time is not sent for ever.
  */
 #define MAX_STARTS_PER_TASK 12
@@ -14,11 +14,11 @@
 #define MAX_UNPLACED_TASKS 64
 /* Cost factor of a worker outside the entry's failure domain. */
 #define REMOTE_COST_FACTOR 1.04
-/* Cost of a worker with failure rate 1, in run times of the task. */
+/* Added cost of a worker with failure rate 1, in run times of the task. */
 #define FAILURE_COST_RUNS 20.0
 /*
- * For this long after the start of the process a job is accepted although no
- * worker of its service was described yet.
+ * For this long after the start of the process, a job is accepted although no
+ * worker of its service has been described yet.
  */
 #define STARTUP_GRACE_MS 3000
 /*
@@ -33,9 +33,9 @@
 	GHashTable *sent;	  /* seq to struct jt_task */
 	GHashTable *unresolved;	  /* set of struct jt_task */
 	GHashTable *queue_speeds; /* queue name to struct spd_queue */
-	GTree *lists;		  /* priority to GQueue of struct jt_job */
+	GTree *jobs_by_priority;  /* priority to GQueue of struct jt_job */
 	uint64_t next_seq;
-	int64_t first_ms; /* time of the first call, 0: none yet */
+	int64_t first_ms; /* first time seen, as that of the process start */
 	bool waiting;	  /* a task may be ready to be sent */
 };
 
@@ -73,7 +73,8 @@
 	sch->unresolved = g_hash_table_new(NULL, NULL);
 	sch->queue_speeds =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	sch->lists = g_tree_new_full(compare_priorities, NULL, NULL, list_free);
+	sch->jobs_by_priority =
+	    g_tree_new_full(compare_priorities, NULL, NULL, list_free);
 	return sch;
 }
 
@@ -86,7 +87,7 @@
 	g_hash_table_unref(sch->sent);
 	g_hash_table_unref(sch->unresolved);
 	g_hash_table_unref(sch->jobs);
-	g_tree_unref(sch->lists);
+	g_tree_unref(sch->jobs_by_priority);
 	wks_free(sch->workers);
 	g_hash_table_unref(sch->queue_speeds);
 	g_free(sch);
@@ -101,12 +102,14 @@
 static GQueue *
 list_of(struct sch *sch, uint32_t priority)
 {
-	GQueue *list = g_tree_lookup(sch->lists, GUINT_TO_POINTER(priority));
+	GQueue *list =
+	    g_tree_lookup(sch->jobs_by_priority, GUINT_TO_POINTER(priority));
 
 	if (list == NULL) {
 		list = g_new0(GQueue, 1);
 		g_queue_init(list);
-		g_tree_insert(sch->lists, GUINT_TO_POINTER(priority), list);
+		g_tree_insert(
+		    sch->jobs_by_priority, GUINT_TO_POINTER(priority), list);
 	}
 	return list;
 }
@@ -213,7 +216,7 @@
 }
 
 /*
- * Expected time until the worker completes the task, raised by the risk that it
+ * Expected run time of the task on the worker, raised by the risk that the task
  * fails there.
  */
 static double
@@ -317,12 +320,13 @@
 	struct sch *sch;
 	int64_t now_ms;
 	uint32_t n_unplaced;
-	const struct jt_task *smallest; /* unplaced, without other limits */
+	/* Smallest unplaced task without required label or per-worker limit. */
+	const struct jt_task *smallest;
 };
 
 /*
- * Whether a task of the service that needs no more than this one has found no
- * worker in this pass.
+ * Whether a task of the same service that needs no more than this one has
+ * already found no worker in this pass.
  */
 static bool
 has_no_worker(const struct pass *pass, const struct jt_task *task)
@@ -400,8 +404,8 @@
 }
 
 /*
- * In a lasting overload, strict order of arrival would make every job late.
- * With the late jobs last, the others still meet their objective.
+ * Under sustained overload, strict order of arrival would make every job late.
+ * Late jobs go last, so that the others still meet their objective.
  */
 static gboolean
 place_list(gpointer key, gpointer value, gpointer data)
@@ -426,7 +430,7 @@
 	struct pass pass = {.sch = sch, .now_ms = now_ms};
 	size_t i;
 
-	g_tree_foreach(sch->lists, place_list, &pass);
+	g_tree_foreach(sch->jobs_by_priority, place_list, &pass);
 	sch->waiting = pass.n_unplaced > 0;
 	for (i = 0; i < wks_count(sch->workers); i++) {
 		struct wks_worker *w = wks_get(sch->workers, i);
@@ -598,7 +602,7 @@
 	       wk_fits(&a->steps[0].size, &b->steps[0].size);
 }
 
-/* How long those jobs of a queue have waited of which no task was sent. */
+/* Times that jobs of a queue have waited for their first start. */
 struct waits {
 	int64_t oldest_ms;
 	int64_t in_time_ms; /* of the oldest that can still be in time */
@@ -633,9 +637,9 @@
 }
 
 /*
- * Whether a new job would be answered too late to be of use, going by the
- * oldest waiting job.  It is accepted all the same while the oldest job that
- * can still meet its objective has used up at most half of its time to start.
+ * Whether a new job would be answered too late to be of use, judged by the
+ * oldest waiting job.  It is still accepted while the oldest job that can meet
+ * its objective has used at most half of its time to start.
  */
 static bool
 is_too_late(const struct waits *waits, const struct limits *limits)
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -21,7 +21,7 @@
 	SCH_FAILED,
 	SCH_NOT_STARTED,
 	SCH_LOST,
-	SCH_STALLED /* stopped as too slow; no failed attempt of the task */
+	SCH_STALLED /* stopped as too slow; not counted as a failed attempt */
 };
 
 enum sch_end {
@@ -69,12 +69,12 @@
 };
 
 struct sch_options {
-	double cross_rack_factor; /* on run times outside the preferred rack */
-	int64_t resolve_ms;	  /* after it a lost agent runs nothing */
+	double cross_rack_factor; /* on run times outside a preferred rack */
+	int64_t resolve_ms;	  /* in which a lost agent ends its runs */
 	uint32_t max_jobs;
 	/* Returns false when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
-	/* Runs after the last start() of a pass for this link. */
+	/* Called when a pass has made its last start() on the link. */
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
 	void (*setback)(
@@ -108,7 +108,7 @@
 
 /* The workers that may get tasks; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; tasks sent to it are ready again after resolve_ms. */
+/* Frees the worker; tasks sent to it become ready again after resolve_ms. */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 /*
@@ -119,7 +119,7 @@
 
 enum sch_verdict sch_submit(
     struct sch *sch, struct sch_request *request, int64_t now_ms);
-/* Makes another request the waiter of a known job; returns the former one. */
+/* Replaces the waiter of a known job; returns the former one. */
 void *sch_take_over(struct sch *sch, const char *job, void *waiter);
 bool sch_has_job(const struct sch *sch, const char *job);
 /* Returns false when the job is not known. */
--- a/src/request/speed.c
+++ b/src/request/speed.c
@@ -2,7 +2,7 @@
 
 #include "request/speed.h"
 
-/* Expected of tasks without an estimate. */
+/* Used for tasks without an estimate. */
 #define DEFAULT_RUN_MS 200
 /*
  * Smallest weights of a new sample in a mean.  With 1/10 a worker that turns
@@ -56,8 +56,9 @@
 	add(&queue->log_ratio, ratio - log_slowness(worker, kind),
 	    QUEUE_WEIGHT);
 	/*
-	 * The deviation of the whole queue is no slowness of the worker, not
-	 * even in its first sample.
+	 * Uses the updated mean of the queue, so that a deviation of the whole
+	 * queue does not count as slowness of the worker, not even in the first
+	 * sample.
 	 */
 	slowness = ratio - queue->log_ratio.value;
 	add(&worker->log_slowness, slowness, WORKER_WEIGHT);
