--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -195,14 +195,14 @@
 }
 
 static void
-task_need(const struct job *job, uint32_t index, struct place_task *need)
+get_requirements(const struct job *job, uint32_t index, struct place_task *req)
 {
 	const struct job_task_spec *spec = &job_task(job, index)->spec;
 
-	need->service = job_service(job);
-	need->declared_ms = spec->run_ms;
-	need->cores = spec->cores;
-	need->memory_mb = spec->memory_mb;
+	req->service = job_service(job);
+	req->declared_ms = spec->run_ms;
+	req->cores = spec->cores;
+	req->memory_mb = spec->memory_mb;
 }
 
 /* A job is complete only when its last task ends, so long tasks go first. */
@@ -210,15 +210,15 @@
 sort_tasks(struct dispatch *dsp, struct job *job)
 {
 	uint32_t i, n = job_n_tasks(job);
-	struct place_task need;
+	struct place_task req;
 	int64_t *run_us;
 
 	if (n < 2)
 		return;
 	run_us = g_new(int64_t, n);
 	for (i = 0; i < n; i++) {
-		task_need(job, i, &need);
-		run_us[i] = place_expected_run_us(dsp->opts.place, &need);
+		get_requirements(job, i, &req);
+		run_us[i] = place_expected_run_us(dsp->opts.place, &req);
 	}
 	job_sort(job, run_us);
 	g_free(run_us);
@@ -340,7 +340,7 @@
 static void
 return_batch(struct dispatch *dsp, struct batch *batch, int64_t now_ms)
 {
-	struct place_task need;
+	struct place_task req;
 	struct open_start *start;
 	uint64_t *seq;
 	guint i;
@@ -348,9 +348,9 @@
 	for (i = 0; i < batch->starts->len; i++) {
 		seq = &g_array_index(batch->starts, wire_start, i).seq;
 		start = g_hash_table_lookup(dsp->open_starts, seq);
-		task_need(start->job, start->task, &need);
-		pool_unsent(dsp->opts.pool, start->agent, start->place_id,
-		    &need, now_ms);
+		get_requirements(start->job, start->task, &req);
+		pool_unsent(dsp->opts.pool, start->agent, start->place_id, &req,
+		    now_ms);
 		job_not_started(start->job, start->task, *seq, now_ms);
 		g_hash_table_remove(dsp->open_starts, seq);
 	}
@@ -414,7 +414,7 @@
 static bool
 place_job(struct dispatch *dsp, struct dsp_job *dj, struct pass *pass)
 {
-	struct place_task need;
+	struct place_task req;
 	uint32_t index, place_id, rank = 0;
 	bool go_on = true;
 	void *agent;
@@ -422,23 +422,23 @@
 	while (
 	    go_on && (index = job_next_waiting(dj->job, rank)) != JOB_NO_TASK) {
 		rank = job_task(dj->job, index)->rank + 1;
-		task_need(dj->job, index, &need);
+		get_requirements(dj->job, index, &req);
 		agent = NULL;
 		if (g_hash_table_size(dsp->open_starts) <
 		    dsp->opts.max_outstanding)
 			agent = pool_choose(
-			    dsp->opts.pool, &need, &place_id, pass->now_ms);
+			    dsp->opts.pool, &req, &place_id, pass->now_ms);
 		if (agent != NULL) {
 			add_start(
 			    dsp, dj, index, agent, place_id, pass->now_ms);
 			continue;
 		}
-		go_on = continue_pass(dsp, pass, need.service);
+		go_on = continue_pass(dsp, pass, req.service);
 		/*
 		 * The job's other tasks probably fit no worker either; trying
 		 * them would use up the pass's limit of skipped tasks.
 		 */
-		if (!place_fits_live(dsp->opts.place, &need))
+		if (!place_fits_live(dsp->opts.place, &req))
 			break;
 	}
 	flush_batches(dsp, pass->now_ms);
@@ -532,7 +532,7 @@
 {
 	struct open_start *start =
 	    g_hash_table_lookup(dsp->open_starts, &result->seq);
-	struct place_task need;
+	struct place_task req;
 	enum job_state before;
 	struct dsp_job *dj;
 	struct open_start copy;
@@ -544,9 +544,9 @@
 	copy = *start;
 	job_ref(copy.job);
 	g_hash_table_remove(dsp->open_starts, &result->seq);
-	task_need(copy.job, copy.task, &need);
+	get_requirements(copy.job, copy.task, &req);
 	pool_outcome(
-	    dsp->opts.pool, agent, copy.place_id, &need, result, now_ms);
+	    dsp->opts.pool, agent, copy.place_id, &req, result, now_ms);
 	dj = g_hash_table_lookup(dsp->jobs, copy.job);
 	before = job_state(copy.job);
 	if (!apply_outcome(dsp, &copy, result, now_ms))
--- a/src/request/job.c
+++ b/src/request/job.c
@@ -360,7 +360,7 @@
 }
 
 static void
-check_finished(struct job *job, int64_t now_ms)
+finish_if_done(struct job *job, int64_t now_ms)
 {
 	if (job_is_finished(job) || job->n_placed > 0)
 		return;
@@ -388,7 +388,7 @@
 			job->tasks[i].state = JOB_TASK_NOT_RUN;
 	}
 	job->n_waiting = 0;
-	check_finished(job, now_ms);
+	finish_if_done(job, now_ms);
 }
 
 void
@@ -439,7 +439,7 @@
 		task->state = JOB_TASK_NOT_RUN;
 	else
 		requeue_task(job, index);
-	check_finished(job, now_ms);
+	finish_if_done(job, now_ms);
 	return true;
 }
 
@@ -466,7 +466,7 @@
 	if (job->state == JOB_RUNNING)
 		job_fail(job, JOB_CAUSE_TASK_UNKNOWN, now_ms);
 	else
-		check_finished(job, now_ms);
+		finish_if_done(job, now_ms);
 	return true;
 }
 
@@ -478,7 +478,7 @@
 }
 
 static void
-keep_result(
+store_result(
     struct job *job, struct job_task *task, const struct job_result *result)
 {
 	task->body = g_bytes_new(result->body, result->body_len);
@@ -508,11 +508,11 @@
 					   job->table->opts.max_answer_bytes)
 		cause = JOB_CAUSE_ANSWER_TOO_LARGE;
 	else if (job->state == JOB_RUNNING)
-		keep_result(job, task, result);
+		store_result(job, task, result);
 	if (cause != JOB_CAUSE_NONE && job->state == JOB_RUNNING)
 		job_fail(job, cause, now_ms);
 	else
-		check_finished(job, now_ms);
+		finish_if_done(job, now_ms);
 	return true;
 }
 
--- a/src/request/jobform.c
+++ b/src/request/jobform.c
@@ -44,7 +44,7 @@
 }
 
 static bool
-only_keys(struct json_object *object, const char *const *keys,
+has_only_keys(struct json_object *object, const char *const *keys,
     const char *where, struct status *why)
 {
 	struct json_object_iterator it = json_object_iter_begin(object);
@@ -124,7 +124,7 @@
 		st_set(why, ST_INVALID, "a task is no object");
 		return REF_BAD_REQUEST;
 	}
-	if (!only_keys(object, keys, "task", why) ||
+	if (!has_only_keys(object, keys, "task", why) ||
 	    !get_int(
 		object, "run_ms", 0, JF_MAX_DEADLINE_MS, &task->run_ms, why) ||
 	    !get_int(object, "cores", 0, MAX_CORES, &cores, why) ||
@@ -193,7 +193,7 @@
 		return code;
 	*form = g_new0(struct jobform, 1);
 	(*form)->deadline_ms = JF_DEFAULT_DEADLINE_MS;
-	if (!only_keys(root, keys, "job", why) ||
+	if (!has_only_keys(root, keys, "job", why) ||
 	    !get_name(root, "service", &(*form)->service, why) ||
 	    !get_name(root, "team", &(*form)->team, why) ||
 	    !get_int(root, "deadline_ms", 1, JF_MAX_DEADLINE_MS,
@@ -238,7 +238,7 @@
 	code = parse_json(body, len, &root, why);
 	if (code != REF_NONE)
 		return code;
-	if (!only_keys(root, keys, "body", why) ||
+	if (!has_only_keys(root, keys, "body", why) ||
 	    !get_int(root, "count", 1, JF_MAX_IDS, &n, why))
 		code = REF_BAD_REQUEST;
 	json_object_put(root);
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -70,7 +70,7 @@
 	GSequence *queue;    /* struct run, by priority and order */
 	GHashTable *active;  /* run number to struct run */
 	GHashTable *by_task; /* task to active struct run */
-	bool in_pump;
+	bool starting_queued;
 };
 
 static int
@@ -317,9 +317,9 @@
 {
 	GSequenceIter *it;
 
-	if (led->in_pump)
+	if (led->starting_queued)
 		return;
-	led->in_pump = true;
+	led->starting_queued = true;
 	it = g_sequence_get_begin_iter(led->queue);
 	while (!g_sequence_iter_is_end(it)) {
 		GSequenceIter *next = g_sequence_iter_next(it);
@@ -343,7 +343,7 @@
 		}
 		it = next;
 	}
-	led->in_pump = false;
+	led->starting_queued = false;
 }
 
 void
@@ -519,7 +519,7 @@
 }
 
 static bool
-lists(const struct wp_report *report, const struct run *run)
+report_lists(const struct wp_report *report, const struct run *run)
 {
 	size_t i;
 
@@ -546,7 +546,8 @@
 		struct run *run = l->data;
 
 		if (run->state == STOPPING && run->stop_confirmed_ms != 0 &&
-		    run->stop_confirmed_ms <= sent_ms && !lists(report, run))
+		    run->stop_confirmed_ms <= sent_ms &&
+		    !report_lists(report, run))
 			finish(led, run, run->stalled ? LED_STALLED : LED_LOST,
 			    run->stop_reason, now_ms);
 	}
@@ -570,7 +571,7 @@
 		if (run->state != STARTING || run->no_answer_ms == 0 ||
 		    run->no_answer_ms > sent_ms)
 			continue;
-		if (lists(report, run))
+		if (report_lists(report, run))
 			run->state = RUNNING;
 		else
 			begin_stop(led, run, "start without an answer", now_ms);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -217,7 +217,7 @@
 		led_room(t->led, &size);
 		emit(t, "%d", (int)size.cpu_milli);
 	} else
-		ck_abort_msg("command %s", w[0]);
+		ck_abort_msg("unknown command %s", w[0]);
 }
 
 /*
--- a/tests/test_runqueue.c
+++ b/tests/test_runqueue.c
@@ -129,7 +129,7 @@
 		g_string_append_printf(actual, "%u/%u+%u%s", load.busy,
 		    load.slots, load.queued, load.draining ? " draining" : "");
 	} else
-		ck_abort_msg("command %s", words[0]);
+		ck_abort_msg("unknown command %s", words[0]);
 }
 
 /* Guards against starting a task that must not run or not returning it. */
--- a/tests/test_sched.c
+++ b/tests/test_sched.c
@@ -292,7 +292,7 @@
 	else if (strcmp(w[0], "pending") == 0)
 		emit(t, "%u", sch_pending(t->sch, "q"));
 	else
-		ck_abort_msg("command %s", w[0]);
+		ck_abort_msg("unknown command %s", w[0]);
 }
 
 /*
