--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -77,7 +77,7 @@
 }
 
 static void
-restore(struct worker *w)
+readmit(struct worker *w)
 {
 	w->ejected = false;
 	w->probing = false;
@@ -155,7 +155,7 @@
 	if (failed)
 		eject_until(w, now_ms);
 	else
-		restore(w);
+		readmit(w);
 }
 
 void
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -24,7 +24,7 @@
 #define SPEED_PRIOR_SAMPLES 4.0
 
 static void
-add(struct est_mean *mean, double value, double min_weight)
+add_sample(struct est_mean *mean, double value, double min_weight)
 {
 	double weight;
 
@@ -53,10 +53,12 @@
 measure_declared(
     struct est_service *service, double log_declared, double deviation)
 {
-	add(&service->log_declared, log_declared, DECLARED_WEIGHT);
+	add_sample(&service->log_declared, log_declared, DECLARED_WEIGHT);
 	log_declared -= service->log_declared.value;
-	add(&service->variance, log_declared * log_declared, DECLARED_WEIGHT);
-	add(&service->covariance, log_declared * deviation, DECLARED_WEIGHT);
+	add_sample(
+	    &service->variance, log_declared * log_declared, DECLARED_WEIGHT);
+	add_sample(
+	    &service->covariance, log_declared * deviation, DECLARED_WEIGHT);
 }
 
 /*
@@ -87,9 +89,9 @@
 		measure_declared(service, log((double)declared_ms),
 		    log_us(run_us) - log_slowness(service, worker) -
 			service->log_run.value);
-	add(&worker->log_run, log_us(run_us), SAMPLE_WEIGHT);
-	add(&service->log_run, log_us(run_us), SAMPLE_WEIGHT);
-	add(&service->run_us, (double)run_us, SAMPLE_WEIGHT);
+	add_sample(&worker->log_run, log_us(run_us), SAMPLE_WEIGHT);
+	add_sample(&service->log_run, log_us(run_us), SAMPLE_WEIGHT);
+	add_sample(&service->run_us, (double)run_us, SAMPLE_WEIGHT);
 }
 
 bool
--- a/src/request/jobtask.c
+++ b/src/request/jobtask.c
@@ -66,7 +66,7 @@
 }
 
 static void
-step_done(struct jt_job *job, uint32_t done)
+unblock_steps(struct jt_job *job, uint32_t done)
 {
 	uint32_t i, j;
 
@@ -89,7 +89,7 @@
 	task->state = JT_DONE;
 	job->n_left--;
 	if (--job->steps[task->step].n_left == 0)
-		step_done(job, task->step);
+		unblock_steps(job, task->step);
 	return job->n_left == 0;
 }
 
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -363,7 +363,7 @@
 }
 
 static struct run *
-find(const struct led *led, int64_t number)
+find_run(const struct led *led, int64_t number)
 {
 	return g_hash_table_lookup(led->active, &number);
 }
@@ -386,7 +386,7 @@
 led_started(struct led *led, int64_t number, const struct wp_answer *answer,
     int64_t now_ms)
 {
-	struct run *run = find(led, number);
+	struct run *run = find_run(led, number);
 
 	if (run == NULL)
 		return;
@@ -423,7 +423,7 @@
 led_stopped(
     struct led *led, int64_t number, enum wp_verdict verdict, int64_t now_ms)
 {
-	struct run *run = find(led, number);
+	struct run *run = find_run(led, number);
 
 	if (run == NULL || run->state != STOPPING)
 		return;
@@ -440,7 +440,7 @@
 static void
 record_end(struct led *led, const struct wp_ended *end, int64_t now_ms)
 {
-	struct run *run = find(led, end->run);
+	struct run *run = find_run(led, end->run);
 
 	if (run == NULL || strcmp(run->task, end->task) != 0)
 		return;
@@ -499,7 +499,7 @@
 record_progress(struct led *led, const struct wp_running *row, int64_t clock_ms,
     int64_t now_ms)
 {
-	struct run *run = find(led, row->run);
+	struct run *run = find_run(led, row->run);
 
 	if (run == NULL || run->state != RUNNING ||
 	    strcmp(run->task, row->task) != 0)
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -18,7 +18,7 @@
 
 /* A start requested by an entry; strings are copied. */
 struct led_start {
-	uint64_t session;
+	uint64_t session; /* connection of the entry */
 	uint64_t seq;
 	const char *task;
 	const char *spec;
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -526,7 +526,7 @@
  * since a worker that fails quickly would look fast.
  */
 static void
-measure(struct worker *w, const struct place_task *task,
+learn_run_time(struct worker *w, const struct place_task *task,
     enum place_outcome outcome, int64_t run_us)
 {
 	if (outcome == PLACE_FAILED && est_is_below_mean(&w->estimate, run_us))
@@ -558,7 +558,7 @@
 			w->unseen--;
 	}
 	if (outcome != PLACE_NOT_STARTED)
-		measure(w, task, outcome, run_us);
+		learn_run_time(w, task, outcome, run_us);
 }
 
 /*
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -195,7 +195,7 @@
  * assigned.
  */
 static struct member *
-find(struct pool *pool, void *agent, uint32_t place_id)
+find_member(struct pool *pool, void *agent, uint32_t place_id)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
@@ -227,7 +227,7 @@
 pool_unsent(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, int64_t now_ms)
 {
-	struct member *m = find(pool, agent, place_id);
+	struct member *m = find_member(pool, agent, place_id);
 
 	if (m == NULL)
 		return;
@@ -260,7 +260,7 @@
 pool_outcome(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, const wire_result *result, int64_t now_ms)
 {
-	struct member *m = find(pool, agent, place_id);
+	struct member *m = find_member(pool, agent, place_id);
 
 	if (m == NULL)
 		return;
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -467,7 +467,7 @@
 }
 
 static void
-measure(const struct jt_task *task, struct wks_worker *w, int64_t run_ms)
+learn_run_time(const struct jt_task *task, struct wks_worker *w, int64_t run_ms)
 {
 	spd_measure(task->job->speed, &w->speed, w->kind, run_ms,
 	    step_of(task)->estimate_ms);
@@ -519,7 +519,7 @@
 	switch (outcome) {
 	case SCH_DONE:
 		hlt_done(&w->health, now_ms);
-		measure(task, w, run_ms);
+		learn_run_time(task, w, run_ms);
 		task_done(sch, task);
 		return;
 	case SCH_FAILED:
@@ -529,7 +529,7 @@
 	case SCH_STALLED:
 		task->projected_ms = MAX(task->projected_ms, run_ms);
 		if (run_ms > 0)
-			measure(task, w, run_ms);
+			learn_run_time(task, w, run_ms);
 		record_failure(task, w, now_ms);
 		break;
 	case SCH_LOST:
--- a/src/request/speed.c
+++ b/src/request/speed.c
@@ -15,7 +15,7 @@
 #define SPEED_PRIOR_SAMPLES 4.0
 
 static void
-add(struct spd_mean *mean, double value, double min_weight)
+add_sample(struct spd_mean *mean, double value, double min_weight)
 {
 	double weight;
 
@@ -53,7 +53,7 @@
 			   estimate_or_default_ms(estimate_ms));
 	double slowness;
 
-	add(&queue->log_ratio, ratio - log_slowness(worker, kind),
+	add_sample(&queue->log_ratio, ratio - log_slowness(worker, kind),
 	    QUEUE_WEIGHT);
 	/*
 	 * Uses the updated mean of the queue, so that a deviation of the whole
@@ -61,8 +61,8 @@
 	 * sample.
 	 */
 	slowness = ratio - queue->log_ratio.value;
-	add(&worker->log_slowness, slowness, WORKER_WEIGHT);
-	add(&kind->log_slowness, slowness, KIND_WEIGHT);
+	add_sample(&worker->log_slowness, slowness, WORKER_WEIGHT);
+	add_sample(&kind->log_slowness, slowness, KIND_WEIGHT);
 }
 
 double
