--- a/src/request/jobtask.h
+++ b/src/request/jobtask.h
@@ -12,7 +12,7 @@
 
 /* The tasks of an open job and their states. */
 
-/* Limit of remembered workers per task that failed or lost it. */
+/* Limit on the workers remembered per task as having failed or lost it. */
 #define JT_MAX_FAILED_ON 4
 
 enum jt_state {
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -93,7 +93,7 @@
 	int64_t wait_ms; /* output: expected time until the first start */
 };
 
-/* Numbers of the tasks of an open job by their state. */
+/* Task counts of an open job, by state. */
 struct sch_progress {
 	const char *queue;
 	uint32_t n_tasks;
