--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -3,14 +3,15 @@
 
 #include "eject.h"
 
-#define WINDOW		20U /* starts that count as recent */
+#define OUTCOME_WINDOW	20U /* starts that count as recent */
 #define MIN_STARTS	5U  /* fewer say too little to eject a worker */
-#define MIN_INTERVAL_MS 1000
-#define MAX_INTERVAL_MS 30000
+#define MIN_EJECTION_MS 1000
+#define MAX_EJECTION_MS 30000
 
 struct worker {
 	char *service;
-	uint32_t outcomes; /* latest WINDOW outcomes, one bit each, 1: failed */
+	uint32_t
+	    outcomes; /* latest OUTCOME_WINDOW outcomes, one bit each, 1: failed */
 	uint32_t n_outcomes; /* number of bits in use */
 	bool ejected;
 	bool probing;
@@ -33,7 +34,7 @@
 }
 
 static struct worker *
-find(const struct eject *eject, uint32_t id)
+find_worker(const struct eject *eject, uint32_t id)
 {
 	return g_hash_table_lookup(eject->workers, GUINT_TO_POINTER(id));
 }
@@ -68,12 +69,12 @@
 }
 
 static void
-eject_until(struct worker *w, int64_t now_ms)
+eject_for_interval(struct worker *w, int64_t now_ms)
 {
 	w->ejected = true;
 	w->probing = false;
 	w->ejected_until_ms = now_ms + w->interval_ms;
-	w->interval_ms = MIN(w->interval_ms * 2, MAX_INTERVAL_MS);
+	w->interval_ms = MIN(w->interval_ms * 2, MAX_EJECTION_MS);
 }
 
 static void
@@ -88,12 +89,12 @@
 static void
 record_outcome(struct worker *w, bool failed)
 {
-	w->outcomes =
-	    ((w->outcomes << 1) | (failed ? 1 : 0)) & ((1U << WINDOW) - 1);
-	w->n_outcomes = MIN(w->n_outcomes + 1, WINDOW);
+	w->outcomes = ((w->outcomes << 1) | (failed ? 1 : 0)) &
+		      ((1U << OUTCOME_WINDOW) - 1);
+	w->n_outcomes = MIN(w->n_outcomes + 1, OUTCOME_WINDOW);
 	/* A full window of successes resets the length of the next ejection. */
-	if (w->n_outcomes == WINDOW && w->outcomes == 0)
-		w->interval_ms = MIN_INTERVAL_MS;
+	if (w->n_outcomes == OUTCOME_WINDOW && w->outcomes == 0)
+		w->interval_ms = MIN_EJECTION_MS;
 }
 
 struct eject *
@@ -121,7 +122,7 @@
 	struct worker *w = g_new0(struct worker, 1);
 
 	w->service = g_strdup(service);
-	w->interval_ms = MIN_INTERVAL_MS;
+	w->interval_ms = MIN_EJECTION_MS;
 	g_hash_table_replace(eject->workers, GUINT_TO_POINTER(id), w);
 }
 
@@ -138,7 +139,7 @@
 void
 ej_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
@@ -147,13 +148,13 @@
 	if (!w->ejected) {
 		record_outcome(w, failed);
 		if (mostly_fails(w) && may_eject(eject, w->service))
-			eject_until(w, now_ms);
+			eject_for_interval(w, now_ms);
 		return;
 	}
 	if (!w->probing || w->outstanding > 0)
 		return;
 	if (failed)
-		eject_until(w, now_ms);
+		eject_for_interval(w, now_ms);
 	else
 		readmit(w);
 }
@@ -161,7 +162,7 @@
 void
 ej_started(struct eject *eject, uint32_t id, int64_t now_ms)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
@@ -174,7 +175,7 @@
 void
 ej_not_started(struct eject *eject, uint32_t id)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
@@ -191,7 +192,7 @@
 bool
 ej_may_start(const struct eject *eject, uint32_t id, int64_t now_ms)
 {
-	const struct worker *w = find(eject, id);
+	const struct worker *w = find_worker(eject, id);
 
 	if (w == NULL || !w->ejected)
 		return true;
@@ -202,7 +203,7 @@
 bool
 ej_is_ejected(const struct eject *eject, uint32_t id)
 {
-	const struct worker *w = find(eject, id);
+	const struct worker *w = find_worker(eject, id);
 
 	return w != NULL && w->ejected;
 }
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -14,7 +14,8 @@
  */
 #define SAMPLE_WEIGHT (1.0 / 64)
 /*
- * Declared times are off by up to 10 times, so their means take more samples.
+ * Declared times are off by a factor of up to 10, so their means take more
+ * samples.
  */
 #define DECLARED_WEIGHT (1.0 / 1024)
 /* Declared times are used from this number of samples on. */
--- a/src/request/jobtask.h
+++ b/src/request/jobtask.h
@@ -30,7 +30,7 @@
 	uint32_t index;
 	enum jt_state state;
 	uint32_t failures;
-	uint32_t sends;
+	uint32_t starts;
 	uint64_t seq;
 	struct wks_worker *worker; /* NULL when it was removed */
 	struct wks_worker *failed_on[JT_MAX_FAILED_ON];
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -110,8 +110,9 @@
 }
 
 /*
- * Tasks at the worker: the reported load plus own dispatches since, with the
- * part of other entries reduced by OTHERS_DECAY_PER_RUN.
+ * Estimated number of tasks at the worker: the reported load plus own
+ * dispatches since, with the part of other entries reduced by
+ * OTHERS_DECAY_PER_RUN.
  */
 static uint32_t
 load_of(const struct place *place, const struct worker *w)
@@ -145,15 +146,15 @@
 }
 
 static bool
-has_room(const struct place *place, const struct worker *w)
+can_take_task(const struct place *place, const struct worker *w)
 {
 	return is_live(w) && load_of(place, w) < limit_of(place, w);
 }
 
 /*
- * Expected time between two completions at a busy worker.  After a mean run
- * time without one, as much time again is expected as has passed, so that no
- * task waits for a worker that hangs.
+ * Expected time between two completions at a busy worker.  When none was seen
+ * for longer than a mean run time, it is the time since the last one, so that
+ * no task waits for a worker that hangs.
  */
 static double
 slot_gap_us(const struct place *place, const struct worker *w)
@@ -248,7 +249,7 @@
 	for (i = 0; i < service->workers->len; i++) {
 		struct worker *w = service->workers->pdata[i];
 
-		if (has_room(place, w) && fits(w, task) &&
+		if (can_take_task(place, w) && fits(w, task) &&
 		    (!local_only || (w->local && load_of(place, w) < w->slots)))
 			g_ptr_array_add(found, w);
 	}
@@ -431,7 +432,7 @@
 	guint i;
 
 	for (i = 0; service != NULL && i < service->workers->len; i++) {
-		if (has_room(place, service->workers->pdata[i]))
+		if (can_take_task(place, service->workers->pdata[i]))
 			return true;
 	}
 	return false;
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -308,7 +308,7 @@
 	task->seq = start.seq;
 	task->worker = w;
 	task->sent_ms = now_ms;
-	task->sends++;
+	task->starts++;
 	job->sent = true;
 	g_hash_table_insert(sch->sent, &task->seq, task);
 	w->open++;
@@ -462,7 +462,7 @@
 	sch->waiting = true;
 	if (task->failures >= task->job->max_attempts)
 		end_job(sch, task->job, SCH_JOB_FAILED, reason);
-	else if (task->sends >= MAX_STARTS_PER_TASK)
+	else if (task->starts >= MAX_STARTS_PER_TASK)
 		end_job(sch, task->job, SCH_BROKEN, reason);
 }
 
