--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -10,8 +10,7 @@
 
 struct worker {
 	char *service;
-	uint32_t
-	    outcomes; /* latest OUTCOME_WINDOW outcomes, one bit each, 1: failed */
+	uint32_t outcomes;   /* latest ones, a bit each; 1: failed */
 	uint32_t n_outcomes; /* number of bits in use */
 	bool ejected;
 	bool probing;
