--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -333,7 +333,7 @@
 		}
 	}
 	pool_refresh(dsp->opts.pool, now_ms);
-	dsp_run(dsp, now_ms);
+	dsp_place_tasks(dsp, now_ms);
 }
 
 /* Undoes the starts of a batch that could not be sent. */
@@ -404,10 +404,10 @@
 static bool
 continue_pass(struct dispatch *dsp, struct pass *pass, const char *service)
 {
-	return ++pass->skipped < PLACE_PASS_TASKS &&
+	return ++pass->skipped < PLACE_PASS_MAX_SKIPPED &&
 	       g_hash_table_size(dsp->open_starts) <
 		   dsp->opts.max_outstanding &&
-	       place_has_room(dsp->opts.place, service);
+	       place_has_capacity(dsp->opts.place, service);
 }
 
 /* Places tasks of one job; returns whether the pass goes on. */
@@ -452,7 +452,8 @@
 {
 	struct pass pass = {.now_ms = now_ms};
 	GList *link = queue->jobs.head, *next;
-	bool go_on = link != NULL && place_has_room(dsp->opts.place, service);
+	bool go_on =
+	    link != NULL && place_has_capacity(dsp->opts.place, service);
 
 	while (go_on && link != NULL) {
 		next = link->next;
@@ -466,7 +467,7 @@
  * mark a failure domain out.
  */
 void
-dsp_run(struct dispatch *dsp, int64_t now_ms)
+dsp_place_tasks(struct dispatch *dsp, int64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer key, value;
--- a/src/request/jobform.h
+++ b/src/request/jobform.h
@@ -10,7 +10,7 @@
 #include "request/refusal.h"
 
 /* A submission, parsed from its JSON body. */
-struct jobform {
+struct jf_submission {
 	char *service;
 	char *team;
 	int64_t deadline_ms; /* time from the submission on */
@@ -34,8 +34,9 @@
  * On REF_NONE sets *form, to be freed with jf_free(); else why has a message.
  */
 enum ref_code jf_parse(const void *body, size_t len,
-    const struct jf_limits *limits, struct jobform **form, struct status *why);
-void jf_free(struct jobform *form);
+    const struct jf_limits *limits, struct jf_submission **form,
+    struct status *why);
+void jf_free(struct jf_submission *form);
 /* Parses {"count":n}, a request for ids; an empty body asks for one id. */
 enum ref_code jf_parse_count(
     const void *body, size_t len, uint32_t *count, struct status *why);
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -58,7 +58,7 @@
 	    const char *task, const char *spec, int64_t run, void *ctx);
 	void (*stop)(const char *task, int64_t run, void *ctx);
 	/* Asks the worker for a report made after this call. */
-	void (*look)(void *ctx);
+	void (*request_report)(void *ctx);
 	void (*result)(const struct led_result *result, void *ctx);
 	void *ctx;
 };
@@ -79,7 +79,7 @@
 /* Returns every queued start as not started. */
 void led_return_queue(struct led *led, const char *reason, int64_t now_ms);
 /* Starts queued tasks that fit the free capacity, by priority. */
-void led_pump(struct led *led, int64_t now_ms);
+void led_start_queued(struct led *led, int64_t now_ms);
 /* Repeats unconfirmed stops and returns queued starts whose time has passed. */
 void led_tick(struct led *led, int64_t now_ms);
 
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -122,13 +122,13 @@
 }
 
 void
-pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
-    int64_t now_ms)
+pool_set_connected(struct pool *pool, void *agent,
+    const struct place_worker *worker, int64_t now_ms)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
 	if (m != NULL && !is_same(m, worker)) {
-		pool_gone(pool, agent);
+		pool_remove(pool, agent);
 		m = NULL;
 	}
 	if (m == NULL)
@@ -138,7 +138,7 @@
 }
 
 void
-pool_down(struct pool *pool, void *agent)
+pool_set_disconnected(struct pool *pool, void *agent)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
@@ -149,7 +149,7 @@
 }
 
 void
-pool_gone(struct pool *pool, void *agent)
+pool_remove(struct pool *pool, void *agent)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
@@ -162,7 +162,7 @@
 }
 
 void
-pool_load(struct pool *pool, void *agent, const struct place_load *load,
+pool_set_load(struct pool *pool, void *agent, const struct place_load *load,
     uint32_t unseen, int64_t now_ms)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -30,12 +30,12 @@
  * size has changed, its measurements are dropped; its name and failure domain
  * never change.
  */
-void pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
-    int64_t now_ms);
-void pool_down(struct pool *pool, void *agent);
-void pool_gone(struct pool *pool, void *agent);
-void pool_load(struct pool *pool, void *agent, const struct place_load *load,
-    uint32_t unseen, int64_t now_ms);
+void pool_set_connected(struct pool *pool, void *agent,
+    const struct place_worker *worker, int64_t now_ms);
+void pool_set_disconnected(struct pool *pool, void *agent);
+void pool_remove(struct pool *pool, void *agent);
+void pool_set_load(struct pool *pool, void *agent,
+    const struct place_load *load, uint32_t unseen, int64_t now_ms);
 /* Applies out marks, ends of pauses and ejections. */
 void pool_refresh(struct pool *pool, int64_t now_ms);
 
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -26,7 +26,7 @@
 }
 
 void
-rty_request(struct retry *retry)
+rty_count_request(struct retry *retry)
 {
 	retry->budget = MIN(retry->budget + retry->opts.percent,
 	    (uint64_t)retry->opts.burst * UNITS_PER_RETRY);
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -30,7 +30,7 @@
 struct retry *rty_new(const struct rty_options *opts);
 void rty_free(struct retry *retry);
 /* Counts a new request, which adds its share of a retry to the budget. */
-void rty_request(struct retry *retry);
+void rty_count_request(struct retry *retry);
 /*
  * Whether the attempt may be followed by another.  Spends budget when it
  * returns true for RTY_UNKNOWN.
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -24,21 +24,21 @@
 	SCH_STALLED /* stopped as too slow; not counted as a failed attempt */
 };
 
-enum sch_end {
+enum sch_job_end {
 	SCH_COMPLETED,
 	SCH_JOB_FAILED, /* a task used up its attempts */
 	SCH_EXPIRED,	/* the deadline has passed; tasks may have run */
-	SCH_HOPELESS,	/* ended before any task was sent */
+	SCH_NOT_RUN,	/* ended before any task was sent */
 	SCH_BROKEN	/* ended by the entry after a task may have run */
 };
 
-enum sch_verdict {
+enum sch_submit_result {
 	SCH_ACCEPTED,
 	SCH_NO_WORKERS, /* no worker of the service is usable now */
 	SCH_TOO_LARGE,	/* a step needs more than any known worker has */
 	SCH_OVERLOADED, /* too many jobs are open */
 	SCH_BACKLOG,	/* its answer would come too late to be of use */
-	SCH_UNSERVED	/* queues with placement advice are not supported */
+	SCH_UNSUPPORTED /* queues with placement advice are not supported */
 };
 
 /* Request to start a task on a worker; strings are valid during the call. */
@@ -56,7 +56,7 @@
 };
 
 /* A start that did not complete its task; strings are valid during the call. */
-struct sch_setback {
+struct sch_failed_start {
 	const char *job;
 	uint32_t step;
 	uint32_t index;
@@ -69,18 +69,18 @@
 };
 
 struct sch_options {
-	double cross_rack_factor; /* on run times outside a preferred rack */
-	int64_t resolve_ms;	  /* in which a lost agent ends its runs */
+	double cross_rack_factor;    /* on run times outside a preferred rack */
+	int64_t lost_run_timeout_ms; /* in which a lost agent ends its runs */
 	uint32_t max_jobs;
 	/* Returns false when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
 	/* Called when a pass has made its last start() on the link. */
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
-	void (*setback)(
-	    void *link, const struct sch_setback *failure, void *ctx);
+	void (*start_failed)(
+	    void *link, const struct sch_failed_start *failure, void *ctx);
 	/* The job has ended; waiter is the one of struct sch_request. */
-	void (*ended)(void *waiter, const char *job, enum sch_end end,
+	void (*ended)(void *waiter, const char *job, enum sch_job_end end,
 	    const char *reason, void *ctx);
 	void *ctx;
 };
@@ -108,7 +108,7 @@
 
 /* The workers that may get tasks; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; tasks sent to it become ready again after resolve_ms. */
+/* Frees the worker; tasks sent to it become ready again after lost_run_timeout_ms. */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 /*
@@ -117,10 +117,10 @@
  */
 void sch_disconnect(struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 
-enum sch_verdict sch_submit(
+enum sch_submit_result sch_submit(
     struct sch *sch, struct sch_request *request, int64_t now_ms);
 /* Replaces the waiter of a known job; returns the former one. */
-void *sch_take_over(struct sch *sch, const char *job, void *waiter);
+void *sch_replace_waiter(struct sch *sch, const char *job, void *waiter);
 bool sch_has_job(const struct sch *sch, const char *job);
 /* Returns false when the job is not known. */
 bool sch_progress(
@@ -132,16 +132,16 @@
 bool sch_cancel(struct sch *sch, const char *job);
 void sch_result(struct sch *sch, uint64_t seq, enum sch_outcome outcome,
     int64_t run_ms, const char *reason, int64_t now_ms);
-/* Whether a task may be ready, so that sch_run() should be called. */
-bool sch_is_waiting(const struct sch *sch);
+/* Whether a task may be ready, so that sch_place_tasks() should be called. */
+bool sch_has_waiting_tasks(const struct sch *sch);
 /* Sends ready tasks to workers with room for them, by priority. */
-void sch_run(struct sch *sch, int64_t now_ms);
+void sch_place_tasks(struct sch *sch, int64_t now_ms);
 void sch_tick(struct sch *sch, int64_t now_ms);
 /* Ends every job, since this process was paused or is shutting down. */
-void sch_give_up_all(struct sch *sch, const char *reason);
+void sch_abort_all(struct sch *sch, const char *reason);
 
 uint32_t sch_n_jobs(const struct sch *sch);
 /* Number of jobs of a queue of which no task was sent. */
-uint32_t sch_pending(const struct sch *sch, const char *queue);
+uint32_t sch_n_unsent_jobs(const struct sch *sch, const char *queue);
 
 #endif
