--- a/src/request/place.h
+++ b/src/request/place.h
@@ -75,8 +75,8 @@
  * Starts a pass over the queued tasks of a service, in their order.  Within a
  * pass, a task for which place_choose() returns PLACE_NONE reserves a slot of
  * the worker that it waits for, and later tasks may still be placed.  The
- * caller ends the pass when place_has_capacity() is false or when PLACE_PASS_MAX_SKIPPED
- * tasks were not placed.
+ * caller ends the pass when place_has_capacity() is false or when
+ * PLACE_PASS_MAX_SKIPPED tasks were not placed.
  */
 #define PLACE_PASS_MAX_SKIPPED 64U
 void place_begin_pass(struct place *place, int64_t now_ms);
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -108,7 +108,10 @@
 
 /* The workers that may get tasks; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; tasks sent to it become ready again after lost_run_timeout_ms. */
+/*
+ * Frees the worker.  Tasks sent to it become ready again after
+ * lost_run_timeout_ms.
+ */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 /*
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -71,7 +71,7 @@
 }
 
 static void
-on_look(void *ctx)
+on_request_report(void *ctx)
 {
 	emit(ctx, "look");
 }
@@ -92,7 +92,7 @@
 	    .may_start = may_start,
 	    .start = on_start,
 	    .stop = on_stop,
-	    .request_report = on_look,
+	    .request_report = on_request_report,
 	    .result = on_result,
 	    .ctx = t,
 	};
@@ -145,12 +145,12 @@
 	int i;
 
 	for (i = 2; w[i] != NULL; i++) {
-		char *end_kind = strchr(w[i], '=');
+		char *eq = strchr(w[i], '=');
 		char *dot = strchr(w[i], '.');
 
 		ck_assert_ptr_nonnull(dot);
 		*dot = '\0';
-		if (end_kind == NULL) {
+		if (eq == NULL) {
 			char *percent = strchr(dot + 1, '@');
 
 			running[r.n_running++] = (struct wp_running){
@@ -160,13 +160,12 @@
 						       : number(percent + 1)};
 			continue;
 		}
-		*end_kind = '\0';
+		*eq = '\0';
 		ended[r.n_ended] =
 		    (struct wp_ended){.number = (int64_t)r.n_ended + 1,
 			.task = w[i],
 			.run = number(dot + 1),
-			.end_kind =
-			    index_of(ends, G_N_ELEMENTS(ends), end_kind + 1)};
+			.end_kind = index_of(ends, G_N_ELEMENTS(ends), eq + 1)};
 		r.n_ended++;
 	}
 	r.answer.clock_ms = t->now_ms;
