--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -349,8 +349,8 @@
 		seq = &g_array_index(batch->starts, wire_start, i).seq;
 		start = g_hash_table_lookup(dsp->open_starts, seq);
 		get_requirements(start->job, start->task, &req);
-		pool_unsent(dsp->opts.pool, start->agent, start->place_id, &req,
-		    now_ms);
+		pool_undo_choice(dsp->opts.pool, start->agent, start->place_id,
+		    &req, now_ms);
 		job_not_started(start->job, start->task, *seq, now_ms);
 		g_hash_table_remove(dsp->open_starts, seq);
 	}
@@ -546,7 +546,7 @@
 	job_ref(copy.job);
 	g_hash_table_remove(dsp->open_starts, &result->seq);
 	get_requirements(copy.job, copy.task, &req);
-	pool_outcome(
+	pool_record_outcome(
 	    dsp->opts.pool, agent, copy.place_id, &req, result, now_ms);
 	dj = g_hash_table_lookup(dsp->jobs, copy.job);
 	before = job_state(copy.job);
--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -136,7 +136,7 @@
  * of its probe counts; those of earlier starts are ignored.
  */
 void
-ej_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms)
+ej_record_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms)
 {
 	struct worker *w = find_worker(eject, id);
 
@@ -159,7 +159,7 @@
 }
 
 void
-ej_started(struct eject *eject, uint32_t id, int64_t now_ms)
+ej_record_start(struct eject *eject, uint32_t id, int64_t now_ms)
 {
 	struct worker *w = find_worker(eject, id);
 
@@ -172,7 +172,7 @@
 
 /* The next start may be the probe again. */
 void
-ej_not_started(struct eject *eject, uint32_t id)
+ej_undo_start(struct eject *eject, uint32_t id)
 {
 	struct worker *w = find_worker(eject, id);
 
--- a/src/request/eject.h
+++ b/src/request/eject.h
@@ -22,16 +22,17 @@
 void ej_remove(struct eject *eject, uint32_t id);
 
 /* Not called for starts that were returned without running. */
-void ej_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms);
+void ej_record_outcome(
+    struct eject *eject, uint32_t id, bool failed, int64_t now_ms);
 /*
  * Records a start that was sent.  After an ejection interval it is the probe,
  * and no other start is allowed until the probe has an outcome.
  */
-void ej_started(struct eject *eject, uint32_t id, int64_t now_ms);
+void ej_record_start(struct eject *eject, uint32_t id, int64_t now_ms);
 /*
  * Records that a start was returned without running, so that it was no probe.
  */
-void ej_not_started(struct eject *eject, uint32_t id);
+void ej_undo_start(struct eject *eject, uint32_t id);
 
 bool ej_may_start(const struct eject *eject, uint32_t id, int64_t now_ms);
 bool ej_is_ejected(const struct eject *eject, uint32_t id);
--- a/src/request/health.c
+++ b/src/request/health.c
@@ -33,7 +33,7 @@
 }
 
 void
-hlt_done(struct hlt *health, int64_t now_ms)
+hlt_record_success(struct hlt *health, int64_t now_ms)
 {
 	record_outcome(health, 0, now_ms);
 	health->n_failed_jobs = 0;
@@ -41,7 +41,7 @@
 }
 
 void
-hlt_failed(struct hlt *health, int64_t now_ms)
+hlt_record_failure(struct hlt *health, int64_t now_ms)
 {
 	record_outcome(health, 1, now_ms);
 	health->n_failed_jobs++;
@@ -59,7 +59,7 @@
 }
 
 void
-hlt_refused(struct hlt *health, int64_t now_ms)
+hlt_record_refusal(struct hlt *health, int64_t now_ms)
 {
 	if (health->paused_until_ms < now_ms + REFUSED_PAUSE_MS)
 		health->paused_until_ms = now_ms + REFUSED_PAUSE_MS;
--- a/src/request/health.h
+++ b/src/request/health.h
@@ -19,11 +19,11 @@
 	int64_t paused_until_ms;
 };
 
-void hlt_done(struct hlt *health, int64_t now_ms);
+void hlt_record_success(struct hlt *health, int64_t now_ms);
 /* Called once for each job whose tasks the worker fails. */
-void hlt_failed(struct hlt *health, int64_t now_ms);
+void hlt_record_failure(struct hlt *health, int64_t now_ms);
 /* A refused start pauses the worker briefly and does not count as a failure. */
-void hlt_refused(struct hlt *health, int64_t now_ms);
+void hlt_record_refusal(struct hlt *health, int64_t now_ms);
 
 bool hlt_is_ejected(const struct hlt *health);
 /* open: number of tasks sent to the worker that have no outcome. */
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -4,8 +4,8 @@
 #include "request/pool.h"
 
 /*
- * First and longest pause of an agent that returns tasks without running them;
- * each pause is twice as long as the one before.
+ * First and longest pause of an agent that returns tasks without running them.
+ * The pauses double until the agent runs a task.
  */
 #define MIN_PAUSE_MS 100
 #define MAX_PAUSE_MS 2000
@@ -18,7 +18,7 @@
 	char *service;
 	uint32_t cores;
 	uint64_t memory_mb;
-	bool up;
+	bool connected;
 	int64_t pause_ms;	 /* length of the next pause */
 	int64_t paused_until_ms; /* 0: not paused */
 };
@@ -64,7 +64,7 @@
 {
 	const struct cfg *cfg = fresh_config(pool->opts.fresh);
 
-	return m->up && m->paused_until_ms == 0 && cfg != NULL &&
+	return m->connected && m->paused_until_ms == 0 && cfg != NULL &&
 	       !cfg_is_out(cfg, CFG_FAILURE_DOMAIN, m->failure_domain) &&
 	       !cfg_is_out(cfg, CFG_WORKER, m->name) &&
 	       !cfg_is_out(cfg, CFG_SERVICE, m->service) &&
@@ -72,7 +72,7 @@
 }
 
 static void
-refresh(struct pool *pool, struct member *m, int64_t now_ms)
+update_usable(struct pool *pool, struct member *m, int64_t now_ms)
 {
 	place_set_usable(
 	    pool->opts.place, m->place_id, is_usable(pool, m, now_ms));
@@ -90,7 +90,7 @@
 
 		if (m->paused_until_ms <= now_ms)
 			m->paused_until_ms = 0;
-		refresh(pool, m, now_ms);
+		update_usable(pool, m, now_ms);
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 	if (m == NULL)
 		m = add_member(pool, agent, worker, now_ms);
-	m->up = true;
-	refresh(pool, m, now_ms);
+	m->connected = true;
+	update_usable(pool, m, now_ms);
 }
 
 void
@@ -144,7 +144,7 @@
 
 	if (m == NULL)
 		return;
-	m->up = false;
+	m->connected = false;
 	place_set_usable(pool->opts.place, m->place_id, false);
 }
 
@@ -185,8 +185,8 @@
 	if (m == NULL)
 		return NULL;
 	place_dispatched(pool->opts.place, *place_id, task, now_ms);
-	ej_started(pool->opts.eject, *place_id, now_ms);
-	refresh(pool, m, now_ms); /* an ejected agent gets one probe */
+	ej_record_start(pool->opts.eject, *place_id, now_ms);
+	update_usable(pool, m, now_ms); /* an ejected agent gets one probe */
 	return m->agent;
 }
 
@@ -220,11 +220,11 @@
 {
 	place_finished(
 	    pool->opts.place, m->place_id, task, PLACE_NOT_STARTED, 0, now_ms);
-	ej_not_started(pool->opts.eject, m->place_id);
+	ej_undo_start(pool->opts.eject, m->place_id);
 }
 
 void
-pool_unsent(struct pool *pool, void *agent, uint32_t place_id,
+pool_undo_choice(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, int64_t now_ms)
 {
 	struct member *m = find_member(pool, agent, place_id);
@@ -233,7 +233,7 @@
 		return;
 	undo_dispatch(pool, m, task, now_ms);
 	pause_agent(m, now_ms);
-	refresh(pool, m, now_ms);
+	update_usable(pool, m, now_ms);
 }
 
 static bool
@@ -252,12 +252,12 @@
 
 	place_finished(pool->opts.place, m->place_id, task,
 	    ok ? PLACE_OK : PLACE_FAILED, result->run_us, now_ms);
-	ej_outcome(pool->opts.eject, m->place_id, !ok, now_ms);
+	ej_record_outcome(pool->opts.eject, m->place_id, !ok, now_ms);
 	m->pause_ms = MIN_PAUSE_MS;
 }
 
 void
-pool_outcome(struct pool *pool, void *agent, uint32_t place_id,
+pool_record_outcome(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, const wire_result *result, int64_t now_ms)
 {
 	struct member *m = find_member(pool, agent, place_id);
@@ -271,5 +271,5 @@
 	} else {
 		record_run(pool, m, task, result, now_ms);
 	}
-	refresh(pool, m, now_ms);
+	update_usable(pool, m, now_ms);
 }
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -46,9 +46,9 @@
 void *pool_choose(struct pool *pool, const struct place_task *task,
     uint32_t *place_id, int64_t now_ms);
 /* Undoes pool_choose() for a task that could not be sent; pauses the agent. */
-void pool_unsent(struct pool *pool, void *agent, uint32_t place_id,
+void pool_undo_choice(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, int64_t now_ms);
-void pool_outcome(struct pool *pool, void *agent, uint32_t place_id,
+void pool_record_outcome(struct pool *pool, void *agent, uint32_t place_id,
     const struct place_task *task, const wire_result *result, int64_t now_ms);
 
 #endif
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -481,7 +481,7 @@
 record_failure(struct jt_task *task, struct wks_worker *w, int64_t now_ms)
 {
 	if (hlt_is_ejected(&w->health) || !jt_job_has_failed_on(task->job, w))
-		hlt_failed(&w->health, now_ms);
+		hlt_record_failure(&w->health, now_ms);
 	jt_remember_failed_on(task, w);
 }
 
@@ -518,7 +518,7 @@
 	task->worker = NULL;
 	switch (outcome) {
 	case SCH_DONE:
-		hlt_done(&w->health, now_ms);
+		hlt_record_success(&w->health, now_ms);
 		learn_run_time(task, w, run_ms);
 		task_done(sch, task);
 		return;
@@ -536,7 +536,7 @@
 		jt_remember_failed_on(task, w);
 		break;
 	case SCH_NOT_STARTED:
-		hlt_refused(&w->health, now_ms);
+		hlt_record_refusal(&w->health, now_ms);
 		break;
 	}
 	report_failed_start(sch, task, w, outcome, reason);
@@ -562,7 +562,7 @@
 			if (!starting)
 				return SCH_NO_WORKERS;
 			break;
-		case WKS_NONE:
+		case WKS_NOT_USABLE:
 			return SCH_NO_WORKERS;
 		}
 	}
--- a/src/request/workerset.c
+++ b/src/request/workerset.c
@@ -177,11 +177,11 @@
 		   now_ms - w->last_usable_ms < EXPECTED_RETURN_MS);
 }
 
-enum wks_answer
+enum wks_availability
 wks_check(const struct wks *set, const char *service,
     const struct wk_step *step, int64_t now_ms)
 {
-	enum wks_answer answer = WKS_UNKNOWN;
+	enum wks_availability answer = WKS_UNKNOWN;
 	guint i;
 
 	for (i = 0; i < set->workers->len; i++) {
@@ -196,7 +196,7 @@
 		}
 		if (may_return(set, w, now_ms))
 			return WKS_USABLE;
-		answer = WKS_NONE;
+		answer = WKS_NOT_USABLE;
 	}
 	return answer;
 }
--- a/src/request/workerset.h
+++ b/src/request/workerset.h
@@ -53,11 +53,11 @@
 };
 
 /* Result of a search for a worker of a service that could run a step. */
-enum wks_answer {
-	WKS_USABLE,    /* one can now, or probably soon */
-	WKS_NONE,      /* some could run it, but none is usable */
-	WKS_TOO_LARGE, /* the step needs more than any known worker has */
-	WKS_UNKNOWN    /* no worker of the service has been described */
+enum wks_availability {
+	WKS_USABLE,	/* one can now, or probably soon */
+	WKS_NOT_USABLE, /* some could run it, but none is usable */
+	WKS_TOO_LARGE,	/* the step needs more than any known worker has */
+	WKS_UNKNOWN	/* no worker of the service has been described */
 };
 
 struct wks *wks_new(void);
@@ -82,7 +82,7 @@
  * Whether the worker could run a task of the step with all its capacity free.
  */
 bool wks_could_run(const struct wks_worker *worker, const struct wk_step *step);
-enum wks_answer wks_check(const struct wks *set, const char *service,
+enum wks_availability wks_check(const struct wks *set, const char *service,
     const struct wk_step *step, int64_t now_ms);
 bool wks_has_label(const struct wks_worker *worker, const char *label);
 
--- a/tests/policy_replay.c
+++ b/tests/policy_replay.c
@@ -208,7 +208,7 @@
 	if (w == NULL)
 		return NULL;
 	place_dispatched(r->place, w->id, task, r->now_ms);
-	ej_started(r->eject, w->id, r->now_ms);
+	ej_record_start(r->eject, w->id, r->now_ms);
 	return w;
 }
 
@@ -232,9 +232,10 @@
 	place_finished(
 	    r->place, w->id, &task, outcome, run_ms * 1000, r->now_ms);
 	if (outcome == PLACE_NOT_STARTED)
-		ej_not_started(r->eject, w->id);
+		ej_undo_start(r->eject, w->id);
 	else
-		ej_outcome(r->eject, w->id, outcome == PLACE_FAILED, r->now_ms);
+		ej_record_outcome(
+		    r->eject, w->id, outcome == PLACE_FAILED, r->now_ms);
 }
 
 static void
@@ -366,7 +367,7 @@
 static void
 do_started(struct replay *r)
 {
-	ej_started(r->eject, worker_of(r)->id, r->now_ms);
+	ej_record_start(r->eject, worker_of(r)->id, r->now_ms);
 }
 
 static void
