--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -19,7 +19,7 @@
 struct dispatch;
 
 struct dsp_options {
-	struct place *place; /* borrowed, as everything below */
+	struct place *place; /* borrowed, like the pointers below */
 	struct pool *pool;
 	const struct fresh *fresh;
 	struct retry *retry;
--- a/src/request/job.h
+++ b/src/request/job.h
@@ -124,7 +124,7 @@
 /* Returns what job_put() would, without creating a job. */
 enum job_put job_peek(struct job_table *table, const char *id, uint64_t counter,
     const uint8_t digest[JOB_DIGEST_BYTES]);
-/* Sets *job, borrowed, for JOB_CREATED and JOB_SAME. */
+/* On JOB_CREATED and JOB_SAME sets *job to a borrowed pointer. */
 enum job_put job_put(
     struct job_table *table, const struct job_spec *spec, struct job **job);
 void job_expire(struct job_table *table, int64_t now_ms);
--- a/src/request/jobform.h
+++ b/src/request/jobform.h
@@ -31,7 +31,8 @@
 };
 
 /*
- * On REF_NONE sets *form, to be freed with jf_free(); else why has a message.
+ * On REF_NONE sets *form, to be freed with jf_free(); otherwise why holds the
+ * error message.
  */
 enum ref_code jf_parse(const void *body, size_t len,
     const struct jf_limits *limits, struct jf_submission **form,
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -17,7 +17,7 @@
 struct pool;
 
 struct pool_options {
-	struct place *place; /* borrowed, as everything below */
+	struct place *place; /* borrowed, like the pointers below */
 	struct eject *eject;
 	const struct fresh *fresh;
 };
@@ -36,7 +36,10 @@
 void pool_remove(struct pool *pool, void *agent);
 void pool_set_load(struct pool *pool, void *agent,
     const struct place_load *load, uint32_t unseen, int64_t now_ms);
-/* Applies out marks, ends of pauses and ejections. */
+/*
+ * Updates which agents are usable: applies out marks and lets agents back whose
+ * pause or ejection has ended.
+ */
 void pool_refresh(struct pool *pool, int64_t now_ms);
 
 /*
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -216,8 +216,8 @@
 }
 
 /*
- * Expected run time of the task on the worker, raised by the risk that the task
- * fails there.
+ * Expected run time of the task on the worker, raised by its failure rate and
+ * by an earlier failure of the task there.
  */
 static double
 cost_of(const struct sch *sch, const struct wks_worker *w,
@@ -267,9 +267,9 @@
 }
 
 /*
- * Estimates are often far off.  A task that was stopped once as too slow is
- * probably a long one, so its projected run time is expected on every worker;
- * otherwise each would stop it again.
+ * Run time expected on the worker.  Estimates are often far off: a task that
+ * was stopped once as too slow is probably a long one, so its projected run
+ * time is expected on every worker; otherwise each would stop it again.
  */
 static int64_t
 expected_ms(const struct jt_task *task, const struct wks_worker *w)
