--- a/src/request/eject.c
+++ b/src/request/eject.c
@@ -3,20 +3,20 @@
 
 #include "eject.h"
 
-#define WINDOW		20U /* starts that count as recent */
-#define MIN_STARTS	5U  /* fewer say too little about a worker */
-#define MIN_INTERVAL_MS 1000
-#define MAX_INTERVAL_MS 30000
+#define OUTCOME_WINDOW	20U /* starts that count as recent */
+#define MIN_STARTS	5U  /* fewer say too little to eject a worker */
+#define MIN_EJECTION_MS 1000
+#define MAX_EJECTION_MS 30000
 
 struct worker {
 	char *service;
-	uint32_t outcomes; /* latest WINDOW outcomes, 1: failed */
-	uint32_t known;	   /* bits of outcomes in use */
+	uint32_t outcomes;   /* latest ones, a bit each; 1: failed */
+	uint32_t n_outcomes; /* number of bits in use */
 	bool ejected;
 	bool probing;
-	uint32_t outstanding; /* starts sent before the ejection */
-	int64_t until_ms;
-	int64_t interval_ms; /* next interval */
+	uint32_t outstanding; /* starts without an outcome */
+	int64_t ejected_until_ms;
+	int64_t interval_ms; /* length of the next ejection */
 };
 
 struct eject {
@@ -33,7 +33,7 @@
 }
 
 static struct worker *
-find(const struct eject *eject, uint32_t id)
+find_worker(const struct eject *eject, uint32_t id)
 {
 	return g_hash_table_lookup(eject->workers, GUINT_TO_POINTER(id));
 }
@@ -64,36 +64,36 @@
 {
 	guint failed = (guint)__builtin_popcount(w->outcomes);
 
-	return w->known >= MIN_STARTS && failed * 2 >= w->known;
+	return w->n_outcomes >= MIN_STARTS && failed * 2 >= w->n_outcomes;
 }
 
 static void
-eject_until(struct worker *w, int64_t now_ms)
+eject_for_interval(struct worker *w, int64_t now_ms)
 {
 	w->ejected = true;
 	w->probing = false;
-	w->until_ms = now_ms + w->interval_ms;
-	w->interval_ms = MIN(w->interval_ms * 2, MAX_INTERVAL_MS);
+	w->ejected_until_ms = now_ms + w->interval_ms;
+	w->interval_ms = MIN(w->interval_ms * 2, MAX_EJECTION_MS);
 }
 
 static void
-restore(struct worker *w)
+readmit(struct worker *w)
 {
 	w->ejected = false;
 	w->probing = false;
 	w->outcomes = 0;
-	w->known = 0;
+	w->n_outcomes = 0;
 }
 
 static void
-record(struct worker *w, bool failed)
+record_outcome(struct worker *w, bool failed)
 {
-	w->outcomes =
-	    ((w->outcomes << 1) | (failed ? 1 : 0)) & ((1U << WINDOW) - 1);
-	w->known = MIN(w->known + 1, WINDOW);
-	/* A full window of successes ends the doubling of the interval. */
-	if (w->known == WINDOW && w->outcomes == 0)
-		w->interval_ms = MIN_INTERVAL_MS;
+	w->outcomes = ((w->outcomes << 1) | (failed ? 1 : 0)) &
+		      ((1U << OUTCOME_WINDOW) - 1);
+	w->n_outcomes = MIN(w->n_outcomes + 1, OUTCOME_WINDOW);
+	/* A full window of successes resets the length of the next ejection. */
+	if (w->n_outcomes == OUTCOME_WINDOW && w->outcomes == 0)
+		w->interval_ms = MIN_EJECTION_MS;
 }
 
 struct eject *
@@ -115,14 +115,13 @@
 	g_free(eject);
 }
 
-/* Adds a worker that may get work. */
 void
 ej_add(struct eject *eject, uint32_t id, const char *service)
 {
 	struct worker *w = g_new0(struct worker, 1);
 
 	w->service = g_strdup(service);
-	w->interval_ms = MIN_INTERVAL_MS;
+	w->interval_ms = MIN_EJECTION_MS;
 	g_hash_table_replace(eject->workers, GUINT_TO_POINTER(id), w);
 }
 
@@ -133,49 +132,49 @@
 }
 
 /*
- * Takes the outcome of a start.  While a worker is ejected only the outcome
+ * Records the outcome of a start.  While a worker is ejected only the outcome
  * of its probe counts; those of earlier starts are ignored.
  */
 void
-ej_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms)
+ej_record_outcome(struct eject *eject, uint32_t id, bool failed, int64_t now_ms)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
 	if (w->outstanding > 0)
 		w->outstanding--;
 	if (!w->ejected) {
-		record(w, failed);
+		record_outcome(w, failed);
 		if (mostly_fails(w) && may_eject(eject, w->service))
-			eject_until(w, now_ms);
+			eject_for_interval(w, now_ms);
 		return;
 	}
 	if (!w->probing || w->outstanding > 0)
 		return;
 	if (failed)
-		eject_until(w, now_ms);
+		eject_for_interval(w, now_ms);
 	else
-		restore(w);
+		readmit(w);
 }
 
 void
-ej_started(struct eject *eject, uint32_t id, int64_t now_ms)
+ej_record_start(struct eject *eject, uint32_t id, int64_t now_ms)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
 	w->outstanding++;
-	if (w->ejected && now_ms >= w->until_ms)
+	if (w->ejected && now_ms >= w->ejected_until_ms)
 		w->probing = true;
 }
 
-/* Takes back a start; the next one may be the probe. */
+/* The next start may be the probe again. */
 void
-ej_not_started(struct eject *eject, uint32_t id)
+ej_undo_start(struct eject *eject, uint32_t id)
 {
-	struct worker *w = find(eject, id);
+	struct worker *w = find_worker(eject, id);
 
 	if (w == NULL)
 		return;
@@ -185,28 +184,31 @@
 		w->probing = false;
 }
 
-/* The probe waits for earlier starts, so that its outcome is its own. */
+/*
+ * An ejected worker gets its probe only when all earlier starts have an
+ * outcome, so that the next outcome is that of the probe.
+ */
 bool
 ej_may_start(const struct eject *eject, uint32_t id, int64_t now_ms)
 {
-	const struct worker *w = find(eject, id);
+	const struct worker *w = find_worker(eject, id);
 
 	if (w == NULL || !w->ejected)
 		return true;
-	return !w->probing && w->outstanding == 0 && now_ms >= w->until_ms;
+	return !w->probing && w->outstanding == 0 &&
+	       now_ms >= w->ejected_until_ms;
 }
 
 bool
 ej_is_ejected(const struct eject *eject, uint32_t id)
 {
-	const struct worker *w = find(eject, id);
+	const struct worker *w = find_worker(eject, id);
 
 	return w != NULL && w->ejected;
 }
 
-/* Returns when the caller should ask ej_may_start() again. */
 int64_t
-ej_next_ms(const struct eject *eject, int64_t now_ms)
+ej_next_probe_ms(const struct eject *eject, int64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -216,9 +218,9 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct worker *w = value;
 
-		if (w->ejected && w->until_ms > now_ms &&
-		    (next_ms < 0 || w->until_ms < next_ms))
-			next_ms = w->until_ms;
+		if (w->ejected && w->ejected_until_ms > now_ms &&
+		    (next_ms < 0 || w->ejected_until_ms < next_ms))
+			next_ms = w->ejected_until_ms;
 	}
 	return next_ms;
 }
--- a/src/request/jobform.c
+++ b/src/request/jobform.c
@@ -24,7 +24,10 @@
 	    tok, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
 	*root = json_tokener_parse_ex(tok, body, (int)len);
 	error = json_tokener_get_error(tok);
-	/* A number at the end of the input is complete only after more. */
+	/*
+	 * Bytes after the value are an error.  A bare number is incomplete for
+	 * the parser until more input follows.
+	 */
 	if (error == json_tokener_success &&
 	    json_tokener_get_parse_end(tok) != len)
 		error = json_tokener_error_parse_unexpected;
@@ -41,7 +44,7 @@
 }
 
 static bool
-only_keys(struct json_object *object, const char *const *keys,
+has_only_keys(struct json_object *object, const char *const *keys,
     const char *where, struct status *why)
 {
 	struct json_object_iterator it = json_object_iter_begin(object);
@@ -93,7 +96,7 @@
 	return false;
 }
 
-/* A string is sent as its bytes, any other value as JSON. */
+/* The payload of a string is its bytes, that of any other value its JSON. */
 static GBytes *
 payload_bytes(struct json_object *value)
 {
@@ -121,7 +124,7 @@
 		st_set(why, ST_INVALID, "a task is no object");
 		return REF_BAD_REQUEST;
 	}
-	if (!only_keys(object, keys, "task", why) ||
+	if (!has_only_keys(object, keys, "task", why) ||
 	    !get_int(
 		object, "run_ms", 0, JF_MAX_DEADLINE_MS, &task->run_ms, why) ||
 	    !get_int(object, "cores", 0, MAX_CORES, &cores, why) ||
@@ -175,7 +178,7 @@
 	return code;
 }
 
-/* Reads the body of a submission and checks every key. */
+/* Parses the body of a submission; unknown keys are an error. */
 enum ref_code
 jf_parse(const void *body, size_t len, const struct jf_limits *limits,
     struct jf_submission **form, struct status *why)
@@ -190,7 +193,7 @@
 		return code;
 	*form = g_new0(struct jf_submission, 1);
 	(*form)->deadline_ms = JF_DEFAULT_DEADLINE_MS;
-	if (!only_keys(root, keys, "job", why) ||
+	if (!has_only_keys(root, keys, "job", why) ||
 	    !get_name(root, "service", &(*form)->service, why) ||
 	    !get_name(root, "team", &(*form)->team, why) ||
 	    !get_int(root, "deadline_ms", 1, JF_MAX_DEADLINE_MS,
@@ -204,7 +207,7 @@
 	return code;
 }
 
-/* Frees a form; NULL is allowed. */
+/* NULL is allowed. */
 void
 jf_free(struct jf_submission *form)
 {
@@ -220,7 +223,6 @@
 	g_free(form);
 }
 
-/* Reads how many ids a caller wants. */
 enum ref_code
 jf_parse_count(
     const void *body, size_t len, uint32_t *count, struct status *why)
@@ -236,7 +238,7 @@
 	code = parse_json(body, len, &root, why);
 	if (code != REF_NONE)
 		return code;
-	if (!only_keys(root, keys, "body", why) ||
+	if (!has_only_keys(root, keys, "body", why) ||
 	    !get_int(root, "count", 1, JF_MAX_IDS, &n, why))
 		code = REF_BAD_REQUEST;
 	json_object_put(root);
@@ -304,7 +306,6 @@
 	g_string_append(out, "\",");
 }
 
-/* Writes the answer about a job in its present state. */
 GString *
 jf_answer(const struct job *job, const char *next_id, uint32_t *http_status)
 {
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -10,9 +10,9 @@
 #include "version/routes.h"
 
 /*
- * The entry's jobs, the order of their tasks, and the choice of a worker for
- * each.  Learns the speeds and faults of workers from the outcomes.  Holds no
- * sockets and reads no clock.
+ * Scheduler of an entry: holds its open jobs, orders their tasks and chooses a
+ * worker for each.  Learns the speed and failure rate of workers from the
+ * outcomes of tasks.  Holds no sockets and reads no clock.
  */
 struct sch;
 
@@ -21,27 +21,27 @@
 	SCH_FAILED,
 	SCH_NOT_STARTED,
 	SCH_LOST,
-	SCH_STALLED /* a fault of the worker, no attempt of the task */
+	SCH_STALLED /* stopped as too slow; not counted as a failed attempt */
 };
 
 enum sch_job_end {
 	SCH_COMPLETED,
 	SCH_JOB_FAILED, /* a task used up its attempts */
 	SCH_EXPIRED,	/* the deadline has passed; tasks may have run */
-	SCH_NOT_RUN,	/* given up before any task was sent */
-	SCH_BROKEN	/* given up after a task may have run */
+	SCH_NOT_RUN,	/* ended before any task was sent */
+	SCH_BROKEN	/* ended by the entry after a task may have run */
 };
 
 enum sch_submit_result {
 	SCH_ACCEPTED,
-	SCH_NO_WORKERS, /* none of the service is usable now */
-	SCH_TOO_LARGE,	/* no known worker could ever run a task */
+	SCH_NO_WORKERS, /* no worker of the service is usable now */
+	SCH_TOO_LARGE,	/* a step needs more than any known worker has */
 	SCH_OVERLOADED, /* too many jobs are open */
-	SCH_BACKLOG,	/* would wait until its answer is worth nothing */
-	SCH_UNSUPPORTED /* the queue needs what this product has not */
+	SCH_BACKLOG,	/* its answer would come too late to be of use */
+	SCH_UNSUPPORTED /* queues with placement advice are not supported */
 };
 
-/* A start for a worker; strings are valid during the call. */
+/* Request to start a task on a worker; strings are valid during the call. */
 struct sch_start {
 	uint64_t seq;
 	const char *job;
@@ -55,7 +55,7 @@
 	int64_t start_within_ms;
 };
 
-/* A start that did not end well; strings are valid during the call. */
+/* A start that did not complete its task; strings are valid during the call. */
 struct sch_failed_start {
 	const char *job;
 	uint32_t step;
@@ -63,80 +63,88 @@
 	uint64_t seq;
 	enum sch_outcome outcome;
 	const char *reason;
-	uint32_t failures; /* attempts of the task that failed, with this */
+	uint32_t failures; /* failed attempts of the task, including this one */
 	uint32_t max_attempts;
 	int64_t sent_ms;
 };
 
 struct sch_options {
-	double cross_rack_factor; /* time on another rack than preferred */
-	int64_t
-	    lost_run_timeout_ms; /* runs of a lost agent have ended by then */
+	double cross_rack_factor;    /* on run times outside a preferred rack */
+	int64_t lost_run_timeout_ms; /* in which a lost agent ends its runs */
 	uint32_t max_jobs;
-	/* False when nothing was sent. */
+	/* Returns false when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
-	/* After the starts of one pass. */
+	/* Called when a pass has made its last start() on the link. */
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
 	void (*start_failed)(
-	    void *link, const struct sch_failed_start *start_failed, void *ctx);
-	/* The job has ended; waiter is what sch_submit() got. */
+	    void *link, const struct sch_failed_start *failure, void *ctx);
+	/* The job has ended; waiter is the one of struct sch_request. */
 	void (*ended)(void *waiter, const char *job, enum sch_job_end end,
 	    const char *reason, void *ctx);
 	void *ctx;
 };
 
 struct sch_request {
-	struct wk_job *job; /* taken over when it was accepted */
+	struct wk_job *job; /* owned by the scheduler once accepted */
 	const struct rts_queue *queue;
 	int64_t deadline_ms;
 	void *waiter;
-	int64_t wait_ms; /* set: expected time until a task is sent */
+	int64_t wait_ms; /* output: expected time until the first start */
 };
 
-/* How far a job has come. */
+/* Task counts of an open job, by state. */
 struct sch_progress {
 	const char *queue;
 	uint32_t n_tasks;
 	uint32_t n_ready; /* wait for a worker */
 	uint32_t n_sent;
-	uint32_t n_unresolved; /* sent to an agent that was lost */
+	uint32_t n_unresolved; /* sent to a lost agent, outcome unknown */
 	uint32_t n_done;
 };
 
 struct sch *sch_new(const struct sch_options *opts);
 void sch_free(struct sch *sch);
 
-/* The workers that tasks go to; their links are passed to the callbacks. */
+/* The workers that may get tasks; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; its open starts are lost after lost_run_timeout_ms. */
+/*
+ * Frees the worker.  Tasks sent to it become ready again after
+ * lost_run_timeout_ms.
+ */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
-/* The connection was lost: as sch_remove_worker(), but the worker stays. */
+/*
+ * Handles a lost connection: like sch_remove_worker(), but the worker stays and
+ * is unusable until it is described again.
+ */
 void sch_disconnect(struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 
 enum sch_submit_result sch_submit(
     struct sch *sch, struct sch_request *request, int64_t now_ms);
-/* Another request for a job that is known here takes it over. */
+/* Replaces the waiter of a known job; returns the former one. */
 void *sch_replace_waiter(struct sch *sch, const char *job, void *waiter);
 bool sch_has_job(const struct sch *sch, const char *job);
-/* False when the job is not known. */
+/* Returns false when the job is not known. */
 bool sch_progress(
     const struct sch *sch, const char *job, struct sch_progress *progress);
-/* Nobody waits for the job any more; ended() is not called. */
+/*
+ * Drops a job whose caller has gone; ended() is not called.  Returns false when
+ * the job is not known.
+ */
 bool sch_cancel(struct sch *sch, const char *job);
 void sch_result(struct sch *sch, uint64_t seq, enum sch_outcome outcome,
     int64_t run_ms, const char *reason, int64_t now_ms);
-/* Whether a task waits for a worker, so that a run may place it. */
+/* Whether a task may be ready, so that sch_place_tasks() should be called. */
 bool sch_has_waiting_tasks(const struct sch *sch);
-/* Places what can be placed. */
+/* Sends ready tasks to workers with room for them, by priority. */
 void sch_place_tasks(struct sch *sch, int64_t now_ms);
 void sch_tick(struct sch *sch, int64_t now_ms);
-/* Gives every job up, since this process was paused or ends. */
+/* Ends every job, since this process was paused or is shutting down. */
 void sch_abort_all(struct sch *sch, const char *reason);
 
 uint32_t sch_n_jobs(const struct sch *sch);
-/* Jobs of a queue of which no task has started. */
+/* Number of jobs of a queue of which no task was sent. */
 uint32_t sch_n_unsent_jobs(const struct sch *sch, const char *queue);
 
 #endif
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -36,7 +36,7 @@
 }
 
 static void
-say(struct trace *t, const char *fmt, ...)
+emit(struct trace *t, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -61,25 +61,25 @@
 on_start(const char *task, const char *spec, int64_t run, void *ctx)
 {
 	(void)spec;
-	say(ctx, "start:%s.%d", task, (int)run);
+	emit(ctx, "start:%s.%d", task, (int)run);
 }
 
 static void
 on_stop(const char *task, int64_t run, void *ctx)
 {
-	say(ctx, "stop:%s.%d", task, (int)run);
+	emit(ctx, "stop:%s.%d", task, (int)run);
 }
 
 static void
-on_look(void *ctx)
+on_request_report(void *ctx)
 {
-	say(ctx, "look");
+	emit(ctx, "look");
 }
 
 static void
 on_result(const struct led_result *result, void *ctx)
 {
-	say(ctx, "%d/%d:%s", (int)result->session, (int)result->seq,
+	emit(ctx, "%d/%d:%s", (int)result->session, (int)result->seq,
 	    outcomes[result->outcome]);
 }
 
@@ -92,7 +92,7 @@
 	    .may_start = may_start,
 	    .start = on_start,
 	    .stop = on_stop,
-	    .request_report = on_look,
+	    .request_report = on_request_report,
 	    .result = on_result,
 	    .ctx = t,
 	};
@@ -145,12 +145,12 @@
 	int i;
 
 	for (i = 2; w[i] != NULL; i++) {
-		char *end_kind = strchr(w[i], '=');
+		char *eq = strchr(w[i], '=');
 		char *dot = strchr(w[i], '.');
 
 		ck_assert_ptr_nonnull(dot);
 		*dot = '\0';
-		if (end_kind == NULL) {
+		if (eq == NULL) {
 			char *percent = strchr(dot + 1, '@');
 
 			running[r.n_running++] = (struct wp_running){
@@ -160,13 +160,12 @@
 						       : number(percent + 1)};
 			continue;
 		}
-		*end_kind = '\0';
+		*eq = '\0';
 		ended[r.n_ended] =
 		    (struct wp_ended){.number = (int64_t)r.n_ended + 1,
 			.task = w[i],
 			.run = number(dot + 1),
-			.end_kind =
-			    index_of(ends, G_N_ELEMENTS(ends), end_kind + 1)};
+			.end_kind = index_of(ends, G_N_ELEMENTS(ends), eq + 1)};
 		r.n_ended++;
 	}
 	r.answer.clock_ms = t->now_ms;
@@ -216,13 +215,13 @@
 		led_worker_lost(t->led, "lost", t->now_ms);
 	else if (strcmp(w[0], "room") == 0) {
 		led_room(t->led, &size);
-		say(t, "%d", (int)size.cpu_milli);
+		emit(t, "%d", (int)size.cpu_milli);
 	} else
-		ck_abort_msg("command %s", w[0]);
+		ck_abort_msg("unknown command %s", w[0]);
 }
 
 /*
- * A trace fails when the worker is started over its capacity, a task runs
- * twice at once, or room is given back while a start may still be carried out.
+ * Guards against starts beyond the worker's capacity, two runs of a task at
+ * once, and capacity freed while a start may still be carried out.
  */
 REPLAY_MAIN("ledger", 0, start, end, step)
--- a/tests/test_runqueue.c
+++ b/tests/test_runqueue.c
@@ -129,8 +129,8 @@
 		g_string_append_printf(actual, "%u/%u+%u%s", load.busy,
 		    load.slots, load.queued, load.draining ? " draining" : "");
 	} else
-		ck_abort_msg("command %s", words[0]);
+		ck_abort_msg("unknown command %s", words[0]);
 }
 
-/* A trace fails when a task starts that must not, or is not returned. */
+/* Guards against starting a task that must not run or not returning it. */
 REPLAY_MAIN("runqueue", 0, start, end, step)
