--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -5,10 +5,9 @@
 
 struct admit {
 	GHashTable *services; /* name -> tasks in flight, absent at 0 */
-	GHashTable *teams;
+	GHashTable *teams;    /* likewise */
 };
 
-/* Makes counts of 0. */
 struct admit *
 adm_new(void)
 {
@@ -21,7 +20,6 @@
 	return adm;
 }
 
-/* Frees the counts. */
 void
 adm_free(struct admit *adm)
 {
@@ -46,14 +44,13 @@
 		    table, g_strdup(name), GUINT_TO_POINTER(n));
 }
 
-/* Returns the tasks of a team that are in flight at this entry. */
+/* Returns the number of tasks of a team in flight at this entry. */
 uint32_t
 adm_team_tasks(const struct admit *adm, const char *team)
 {
 	return count_of(adm->teams, team);
 }
 
-/* Counts tasks that were admitted. */
 void
 adm_take(struct admit *adm, const char *service, const char *team, uint32_t n)
 {
@@ -62,24 +59,24 @@
 }
 
 static uint32_t
-less(uint32_t count, uint32_t n)
+subtract_saturating(uint32_t count, uint32_t n)
 {
 	return count > n ? count - n : 0;
 }
 
-/* Ends the count of tasks that adm_take() counted. */
 void
 adm_release(
     struct admit *adm, const char *service, const char *team, uint32_t n)
 {
-	set_count(
-	    adm->services, service, less(count_of(adm->services, service), n));
-	set_count(adm->teams, team, less(count_of(adm->teams, team), n));
+	set_count(adm->services, service,
+	    subtract_saturating(count_of(adm->services, service), n));
+	set_count(adm->teams, team,
+	    subtract_saturating(count_of(adm->teams, team), n));
 }
 
-/* Returns this entry's share of a quota; UINT32_MAX without a quota. */
+/* Returns the part of a quota that this entry enforces; quota 0: unlimited. */
 static uint32_t
-share(uint32_t quota, uint32_t entries)
+share_of_quota(uint32_t quota, uint32_t entries)
 {
 	if (quota == 0)
 		return UINT32_MAX;
@@ -105,7 +102,7 @@
 	if (facts->cfg == NULL || !facts->current) {
 		st_set(why, ST_UNAVAILABLE,
 		    "this entry has no confirmed configuration");
-		return REF_NOT_CURRENT;
+		return REF_CONFIG_NOT_CURRENT;
 	}
 	if (cfg_service(facts->cfg, request->service) == NULL)
 		return refuse(why, REF_UNKNOWN_SERVICE,
@@ -114,19 +111,19 @@
 		return refuse(why, REF_UNKNOWN_TEAM,
 		    "the configuration has no such team", request->team);
 	if (cfg_is_out(facts->cfg, CFG_SERVICE, request->service))
-		return refuse(why, REF_OUT, "the service is out of service",
-		    request->service);
+		return refuse(why, REF_SERVICE_OUT,
+		    "the service is out of service", request->service);
 	blocked = cfg_blocked_by(
 	    facts->cfg, request->service, facts->is_live, facts->is_live_ctx);
 	if (blocked != NULL)
-		return refuse(why, REF_DEPENDENCY,
+		return refuse(why, REF_DEPENDENCY_UNAVAILABLE,
 		    "a dependency is out or has no live endpoint", blocked);
 	return REF_NONE;
 }
 
 static enum ref_code
-check_size(const struct adm_facts *facts, const struct adm_request *request,
-    struct status *why)
+check_resources(const struct adm_facts *facts,
+    const struct adm_request *request, struct status *why)
 {
 	const struct cfg_service *service =
 	    cfg_service(facts->cfg, request->service);
@@ -141,7 +138,10 @@
 		fits = request->cores <= service->max_cores;
 	if (service->max_memory_mb != 0)
 		fits = fits && request->memory_mb <= service->max_memory_mb;
-	/* Workers may be away, so they are asked only without a limit. */
+	/*
+	 * Configured limits take precedence, since the workers that could run
+	 * the task may be disconnected at the moment.
+	 */
 	if (service->max_cores == 0 && service->max_memory_mb == 0 &&
 	    facts->service_live)
 		fits = place_can_ever_run(facts->place, &task);
@@ -166,33 +166,33 @@
 	const struct cfg_service *service =
 	    cfg_service(facts->cfg, request->service);
 	const struct cfg_team *team = cfg_team(facts->cfg, request->team);
-	uint32_t queue =
-	    service->max_queue != 0 ? service->max_queue : ADM_DEFAULT_QUEUE;
+	uint32_t queue = service->max_queue != 0 ? service->max_queue
+						 : ADM_DEFAULT_MAX_QUEUED_TASKS;
 	uint64_t n = request->n_tasks;
 
 	if (facts->waiting + n > queue)
 		return refuse(why, REF_QUEUE_FULL,
 		    "the queue of the service is full", request->service);
 	if (count_of(adm->services, request->service) + n >
-	    share(service->max_in_flight, facts->live_entries))
+	    share_of_quota(service->max_in_flight, facts->live_entries))
 		return refuse(why, REF_SERVICE_LIMIT,
 		    "the service is at its limit of tasks in flight",
 		    request->service);
 	if (count_of(adm->teams, request->team) + n >
-	    share(team->max_in_flight, facts->live_entries))
+	    share_of_quota(team->max_in_flight, facts->live_entries))
 		return refuse(why, REF_TEAM_QUOTA,
 		    "the team is at its quota of tasks in flight",
 		    request->team);
 	if (facts->expected_wait_ms >= request->deadline_ms)
-		return refuse(why, REF_HOPELESS,
+		return refuse(why, REF_DEADLINE_TOO_SHORT,
 		    "the expected wait is longer than the deadline allows",
 		    request->service);
 	return REF_NONE;
 }
 
 /*
- * Decides about new work before anything of it is queued, so that every
- * refusal is not run.
+ * Decides before any task is queued, so that callers can be told for every
+ * refusal that the job did not run.
  */
 enum ref_code
 adm_check(const struct admit *adm, const struct adm_facts *facts,
@@ -201,7 +201,7 @@
 	enum ref_code code = check_names(facts, request, why);
 
 	if (code == REF_NONE)
-		code = check_size(facts, request, why);
+		code = check_resources(facts, request, why);
 	if (code == REF_NONE)
 		code = check_limits(adm, facts, request, why);
 	return code;
--- a/src/request/answertime.h
+++ b/src/request/answertime.h
@@ -4,19 +4,20 @@
 #include <stdint.h>
 
 /*
- * How long to wait for an answer, from the times that earlier ones took: mean
- * plus four mean deviations, as TCP computes its retransmission timeout (RFC
- * 6298).  Times include this process's own delays, so a slow machine waits
- * longer.  Plain data, zeroed at first.
+ * Adaptive timeout for the answers of a peer: the smoothed mean of earlier
+ * answer times plus four mean deviations, as TCP computes its retransmission
+ * timeout (RFC 6298).  Measured times include delays of this process, so the
+ * timeout grows on an overloaded machine.  Initialize with zeros.
  */
 struct ans {
 	double mean_ms;
 	double deviation_ms;
 	uint32_t samples;
-	uint32_t missed; /* in a row */
+	uint32_t consecutive_misses;
 };
 
 void ans_came(struct ans *ans, int64_t took_ms);
+/* No answer came within the timeout. */
 void ans_missed(struct ans *ans);
 int64_t ans_timeout_ms(const struct ans *ans);
 
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -3,13 +3,14 @@
 #include "process/clock.h"
 #include "request/api.h"
 
-#define FORWARD_MAX_BYTES 4194304 /* of wire_peer_job_args.body */
+/* Limit of wire_peer_job_args.body. */
+#define MAX_FORWARDED_BODY_BYTES 4194304
 
 struct api {
 	struct api_options opts;
 	bool closed;
 	int64_t *submitted, *resubmitted, *complete, *failed, *forwarded;
-	int64_t *open;
+	int64_t *tasks_in_flight;
 };
 
 struct api_call {
@@ -17,16 +18,15 @@
 	api_answer_fn fn; /* NULL after api_cancel() of a forwarded call */
 	void *ctx;
 	struct job *job; /* NULL for a forwarded call */
-	uint64_t waiter;
-	guint timer;
-	bool cancels; /* DELETE: an answer about the cancelled job is 200 */
+	uint64_t waiter; /* of job_wait(); 0: none */
+	guint timer;	 /* limits the wait */
+	bool cancels;	 /* DELETE: a cancelled job is a success, 200 or 202 */
 	struct trc_context span;
 	int64_t start_wall_us;
 	int64_t start_ns;
 	const char *span_name;
 };
 
-/* Makes the object. */
 struct api *
 api_new(const struct api_options *opts)
 {
@@ -44,33 +44,32 @@
 	    reg, "sp_jobs_ended_total{state=\"failed\"}", "jobs ended");
 	api->forwarded = ctr_counter(reg, "sp_jobs_forwarded_total",
 	    "requests sent to the entry that owns the job");
-	api->open = ctr_gauge(
+	api->tasks_in_flight = ctr_gauge(
 	    reg, "sp_tasks_in_flight", "tasks of jobs that have not ended");
 	return api;
 }
 
-/* Frees the object; calls in progress must have been cancelled. */
+/* Calls in progress must have been cancelled. */
 void
 api_free(struct api *api)
 {
 	g_free(api);
 }
 
-/* Refuses new work; requests about known jobs are still answered. */
+/* Refuses new jobs from now on; requests about known jobs are answered. */
 void
 api_close(struct api *api)
 {
 	api->closed = true;
 }
 
-/* Reports whether new work is refused. */
 bool
 api_is_closed(const struct api *api)
 {
 	return api->closed;
 }
 
-/* Writes {"ids":[...]}. */
+/* Returns {"ids":[...]}. */
 char *
 api_mint(struct api *api, uint32_t count)
 {
@@ -142,7 +141,7 @@
 }
 
 static gboolean
-on_wait_over(gpointer data)
+on_wait_timeout(gpointer data)
 {
 	struct api_call *call = data;
 
@@ -151,7 +150,10 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Answers at the end of the job, or after the wait with "running". */
+/*
+ * Answers when the job has finished or after wait_ms; at once, returning NULL,
+ * if wait_ms is 0, the job has finished or it has too many waiters.
+ */
 static struct api_call *
 wait_for_job(struct api_call *call, struct job *job, int64_t wait_ms)
 {
@@ -162,11 +164,11 @@
 		answer_job(call);
 		return NULL;
 	}
-	call->timer = g_timeout_add((guint)wait_ms, on_wait_over, call);
+	call->timer = g_timeout_add((guint)wait_ms, on_wait_timeout, call);
 	return call;
 }
 
-/* Admits, records and queues a job; nothing is left behind on a refusal. */
+/* A refused job leaves no record. */
 enum ref_code
 api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why)
@@ -193,24 +195,24 @@
 	}
 	if (put != JOB_CREATED) {
 		st_set(why, ST_LIMIT, "this entry holds too many jobs");
-		return REF_TABLE_FULL;
+		return REF_TOO_MANY_JOBS;
 	}
 	job_ref(*job);
 	adm_take(api->opts.admit, spec->service, spec->team, spec->n_tasks);
 	rty_request(api->opts.retry);
 	(*api->submitted)++;
-	*api->open += spec->n_tasks;
+	*api->tasks_in_flight += spec->n_tasks;
 	dsp_submit(api->opts.dispatch, *job);
 	return REF_NONE;
 }
 
-/* Ends the accounting of a job. */
+/* Releases the tasks of a job from the quotas and counts its result. */
 void
 api_ended(struct api *api, struct job *job)
 {
 	adm_release(
 	    api->opts.admit, job_service(job), job_team(job), job_n_tasks(job));
-	*api->open -= job_n_tasks(job);
+	*api->tasks_in_flight -= job_n_tasks(job);
 	if (job_state(job) == JOB_COMPLETE)
 		(*api->complete)++;
 	else
@@ -222,7 +224,7 @@
     const struct jobform *form, const struct job_spec *identity)
 {
 	char traceparent[TRC_PARENT_LEN + 1];
-	struct adm_request want = {
+	struct adm_request admission = {
 	    .service = form->service,
 	    .team = form->team,
 	    .n_tasks = form->n_tasks,
@@ -242,7 +244,7 @@
 	spec.deadline_ms = form->deadline_ms;
 	spec.tasks = form->tasks;
 	spec.n_tasks = form->n_tasks;
-	code = api_submit(call->api, &spec, &want, &job, &why);
+	code = api_submit(call->api, &spec, &admission, &job, &why);
 	if (code != REF_NONE) {
 		refuse(call, code, why.message);
 		return NULL;
@@ -301,7 +303,7 @@
 }
 
 static struct api_call *
-handle_own(
+handle_own_job(
     struct api_call *call, const struct api_request *request, uint64_t counter)
 {
 	struct api *api = call->api;
@@ -311,7 +313,8 @@
 		return put_job(call, request, counter);
 	call->cancels = strcmp(request->method, "DELETE") == 0;
 	if (!call->cancels && strcmp(request->method, "GET") != 0) {
-		refuse(call, REF_METHOD, "expected PUT, GET or DELETE");
+		refuse(call, REF_METHOD_NOT_ALLOWED,
+		    "expected PUT, GET or DELETE");
 		return NULL;
 	}
 	job = job_find(api->opts.jobs, request->id);
@@ -345,7 +348,7 @@
 }
 
 static void
-answer_gone(struct api_call *call, const char *id)
+answer_owner_gone(struct api_call *call, const char *id)
 {
 	char next_id[ID_LEN + 1];
 	char *body;
@@ -361,18 +364,18 @@
 }
 
 static struct api_call *
-handle_other(struct api_call *call, const struct api_request *request,
-    uint64_t incarnation)
+handle_job_of_other_entry(struct api_call *call,
+    const struct api_request *request, uint64_t incarnation)
 {
 	struct api *api = call->api;
 	enum api_owner owner = api->opts.owner(incarnation, api->opts.ctx);
 
 	call->span_name = "peer";
 	if (owner == API_OWNER_GONE) {
-		answer_gone(call, request->id);
+		answer_owner_gone(call, request->id);
 		return NULL;
 	}
-	if (request->body_len > FORWARD_MAX_BYTES) {
+	if (request->body_len > MAX_FORWARDED_BODY_BYTES) {
 		refuse(call, REF_FORWARD_TOO_LARGE,
 		    "the body is too large for another entry");
 		return NULL;
@@ -409,7 +412,6 @@
 	return call;
 }
 
-/* Reports whether nothing can have been submitted with the id. */
 bool
 api_is_unused(const struct api *api, const char *id)
 {
@@ -426,10 +428,7 @@
 	}
 }
 
-/*
- * Answers a request about one job.  fn may run before this returns, and then
- * the result is NULL.
- */
+/* Answers a request about one job, which may be that of another entry. */
 struct api_call *
 api_handle(struct api *api, const struct api_request *request, api_answer_fn fn,
     void *ctx)
@@ -439,9 +438,10 @@
 
 	switch (id_check(api->opts.ids, request->id, &parts)) {
 	case ID_OWN:
-		return handle_own(call, request, parts.counter);
+		return handle_own_job(call, request, parts.counter);
 	case ID_OTHER:
-		return handle_other(call, request, parts.incarnation);
+		return handle_job_of_other_entry(
+		    call, request, parts.incarnation);
 	case ID_FORGED:
 		refuse(call, REF_NOT_FOUND, "this entry never issued this id");
 		return NULL;
@@ -452,11 +452,10 @@
 	return NULL;
 }
 
-/* Drops the answer of a call. */
 void
 api_cancel(struct api_call *call)
 {
-	/* The answer of the other entry still comes and frees the call. */
+	/* A forwarded call is freed when the other entry's answer arrives. */
 	if (call->job == NULL)
 		call->fn = NULL;
 	else
--- a/src/request/api.h
+++ b/src/request/api.h
@@ -15,12 +15,12 @@
 #include "request/refusal.h"
 
 /*
- * What callers can ask about jobs, apart from how they ask: by HTTP here, or
- * through another entry.
+ * Callers' requests about jobs: submit, query and cancel.  They come over HTTP
+ * to this entry or forwarded by another entry.
  */
 struct api;
 
-/* Strings are borrowed until the request is answered or returns. */
+/* Strings and body must stay valid until api_handle() returns. */
 struct api_request {
 	const char *method; /* PUT, GET or DELETE */
 	const char *id;
@@ -28,19 +28,20 @@
 	const void *body;
 	size_t body_len;
 	const char *traceparent; /* may be NULL */
-	bool forwarded;		 /* by another entry; not forwarded again */
+	bool forwarded;		 /* by another entry, so never again */
 };
 
-/* Runs exactly once unless cancelled; body is valid during the call. */
+/* Runs exactly once unless cancelled; body is valid only while it runs. */
 typedef void (*api_answer_fn)(
     uint32_t status, const char *body, size_t len, void *ctx);
 struct api_call;
 
+/* Availability of the entry that issued a submission id and owns its job. */
 enum api_owner {
 	API_OWNER_HERE,
 	API_OWNER_REACHABLE,
-	API_OWNER_UNREACHABLE,
-	API_OWNER_GONE
+	API_OWNER_UNREACHABLE, /* not connected, but may still run */
+	API_OWNER_GONE	       /* has exited for good, with its records */
 };
 
 struct api_options {
@@ -52,9 +53,10 @@
 	struct ctr_registry *counters;
 	struct trc_ring *traces;
 	struct jf_limits limits;
+	/* Fills in the state for an admission decision about a service. */
 	void (*facts)(const char *service, struct adm_facts *facts, void *ctx);
 	enum api_owner (*owner)(uint64_t incarnation, void *ctx);
-	/* Returns false, without an answer, when nothing was sent. */
+	/* Returns false and never runs fn if the request was not sent. */
 	bool (*forward)(uint64_t incarnation, const struct api_request *request,
 	    api_answer_fn fn, void *fn_ctx, void *ctx);
 	void *ctx;
@@ -64,27 +66,27 @@
 
 struct api *api_new(const struct api_options *opts);
 void api_free(struct api *api);
-/* Refuses new work from now on. */
 void api_close(struct api *api);
 bool api_is_closed(const struct api *api);
 
-/* NULL: answered already; else api_cancel() is allowed until the answer. */
+/* Returns NULL if fn ran already; else api_cancel() is valid until it runs. */
 struct api_call *api_handle(struct api *api, const struct api_request *request,
     api_answer_fn fn, void *ctx);
-/* The caller went away; its job goes on. */
-/* Whether nothing with this id can have started, at any entry. */
+/* Returns true if no job with this id can have started at any entry. */
 bool api_is_unused(const struct api *api, const char *id);
+/* The caller disconnected: fn will not run, but the job goes on. */
 void api_cancel(struct api_call *call);
-/* Mints ids; the caller frees the JSON with g_free(). */
+/* Returns new submission ids as JSON, to be freed with g_free(). */
 char *api_mint(struct api *api, uint32_t count);
 
 /*
- * Admits and queues a job.  spec->deadline_ms is relative; request gives the
- * same service and team.  REF_NONE: *job is set, with a reference.
+ * Admits and queues a job.  spec->deadline_ms is the remaining time and is
+ * made absolute here; request has the service and team of spec.  On REF_NONE
+ * the caller owns a reference to *job; otherwise *job is NULL and *why is set.
  */
 enum ref_code api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why);
-/* For the dispatcher: a submitted job has ended. */
+/* The dispatcher calls this once when a submitted job has ended. */
 void api_ended(struct api *api, struct job *job);
 
 #endif
--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -4,19 +4,19 @@
 #include "request/callers.h"
 #include "request/http_reply.h"
 
-#define JOBS_PREFIX "/v1/jobs/"
-#define REQUEST_KEY "sequoiaplank-request"
+#define JOBS_PREFIX	 "/v1/jobs/"
+#define REQUEST_DATA_KEY "sequoiaplank-request"
 
 struct http {
 	struct http_options opts;
 	SoupServer *server;
 	uint32_t in_progress;
 	int64_t *requests;
-	int64_t *refused;
-	int64_t *gauge;
+	int64_t *errors;
+	int64_t *in_progress_gauge;
 };
 
-/* Bookkeeping of one request, from its headers to its answer. */
+/* State of one request, from the arrival of its headers to its answer. */
 struct request {
 	struct http *http;
 	enum ref_code refusal;
@@ -32,24 +32,24 @@
 	if (req->call != NULL)
 		api_cancel(req->call);
 	req->http->in_progress--;
-	*req->http->gauge = req->http->in_progress;
+	*req->http->in_progress_gauge = req->http->in_progress;
 	g_free(req);
 }
 
 static void
-on_finished(SoupServerMessage *msg, gpointer data)
+on_message_finished(SoupServerMessage *msg, gpointer data)
 {
 	struct request *req = data;
 	SoupServerMessage *paused = g_steal_pointer(&req->paused);
 
 	if (soup_server_message_get_status(msg) >= 400)
-		(*req->http->refused)++;
+		(*req->http->errors)++;
 	g_signal_handlers_disconnect_by_data(msg, req);
-	g_object_set_data(G_OBJECT(msg), REQUEST_KEY, NULL);
+	g_object_set_data(G_OBJECT(msg), REQUEST_DATA_KEY, NULL);
 	g_clear_object(&paused);
 }
 
-/* Stops storing a body that will be refused. */
+/* Discards the body; the handler answers with the refusal later. */
 static void
 refuse_body(SoupServerMessage *msg, struct request *req, enum ref_code refusal)
 {
@@ -67,7 +67,7 @@
 
 	if (http->in_progress > http->opts.max_requests)
 		refuse_body(msg, req, REF_OVERLOADED);
-	/* libsoup takes a chunked body that was cut off for a whole one. */
+	/* libsoup treats a truncated chunked body as complete. */
 	else if (soup_message_headers_get_list(headers, "Transfer-Encoding") !=
 		 NULL)
 		refuse_body(msg, req, REF_LENGTH_REQUIRED);
@@ -94,7 +94,7 @@
 	}
 }
 
-/* Runs when the headers are there, before any of the body is stored. */
+/* Runs when the headers have arrived, before any of the body is stored. */
 static void
 on_headers(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, gpointer data)
@@ -107,11 +107,12 @@
 	(void)query;
 	req->http = http;
 	http->in_progress++;
-	*http->gauge = http->in_progress;
+	*http->in_progress_gauge = http->in_progress;
 	(*http->requests)++;
-	/* A message may also end without "finished", with its connection. */
-	g_object_set_data_full(G_OBJECT(msg), REQUEST_KEY, req, request_free);
-	g_signal_connect(msg, "finished", G_CALLBACK(on_finished), req);
+	/* A message may be freed with its connection without "finished". */
+	g_object_set_data_full(
+	    G_OBJECT(msg), REQUEST_DATA_KEY, req, request_free);
+	g_signal_connect(msg, "finished", G_CALLBACK(on_message_finished), req);
 	check_length(http, msg, req);
 }
 
@@ -119,7 +120,8 @@
 on_answer(uint32_t status, const char *body, size_t len, void *ctx)
 {
 	SoupServerMessage *msg = ctx;
-	struct request *req = g_object_get_data(G_OBJECT(msg), REQUEST_KEY);
+	struct request *req =
+	    g_object_get_data(G_OBJECT(msg), REQUEST_DATA_KEY);
 
 	hr_json(msg, status, body, len);
 	req->call = NULL;
@@ -147,7 +149,8 @@
 handle_job(struct http *http, SoupServerMessage *msg, const char *id,
     GHashTable *query)
 {
-	struct request *req = g_object_get_data(G_OBJECT(msg), REQUEST_KEY);
+	struct request *req =
+	    g_object_get_data(G_OBJECT(msg), REQUEST_DATA_KEY);
 	GBytes *body = soup_message_body_flatten(
 	    soup_server_message_get_request_body(msg));
 	struct api_request request = {
@@ -188,7 +191,7 @@
 
 	code = jf_parse_count(data, len, &count, &why);
 	if (strcmp(soup_server_message_get_method(msg), "POST") != 0) {
-		hr_refuse(msg, REF_METHOD, "expected POST");
+		hr_refuse(msg, REF_METHOD_NOT_ALLOWED, "expected POST");
 	} else if (code != REF_NONE) {
 		hr_refuse(msg, code, why.message);
 	} else if (api_is_closed(http->opts.api)) {
@@ -203,7 +206,7 @@
 }
 
 static bool
-handle_service_pages(struct http *http, SoupServerMessage *msg,
+handle_monitoring_pages(struct http *http, SoupServerMessage *msg,
     const char *path, GHashTable *query)
 {
 	bool ready;
@@ -231,8 +234,9 @@
 }
 
 /*
- * Refuses a request by its headers.  A job with the same id may have been
- * submitted before, here or at the entry that owns it.
+ * Refuses a request without reading its body.  A job with the same id may have
+ * been submitted earlier, here or at the entry that owns it; then "ran" is
+ * "unknown".
  */
 static void
 refuse_headers(struct http *http, SoupServerMessage *msg, const char *path,
@@ -255,7 +259,8 @@
     GHashTable *query, gpointer data)
 {
 	struct http *http = data;
-	struct request *req = g_object_get_data(G_OBJECT(msg), REQUEST_KEY);
+	struct request *req =
+	    g_object_get_data(G_OBJECT(msg), REQUEST_DATA_KEY);
 
 	(void)server;
 	if (req == NULL)
@@ -268,11 +273,11 @@
 		pass_handle(http->opts.pass, msg);
 	else if (strcmp(path, "/v1/ids") == 0)
 		handle_ids(http, msg);
-	else if (!handle_service_pages(http, msg, path, query))
+	else if (!handle_monitoring_pages(http, msg, path, query))
 		hr_refuse(msg, REF_NOT_FOUND, "no such path");
 }
 
-/* Starts to listen on the default main context. */
+/* Serves requests from the default main context. */
 struct http *
 http_new(const struct http_options *opts, struct status *st)
 {
@@ -281,11 +286,11 @@
 	http->opts = *opts;
 	http->requests = ctr_counter(opts->counters, "sp_http_requests_total",
 	    "requests received from callers");
-	http->refused = ctr_counter(opts->counters, "sp_http_errors_total",
+	http->errors = ctr_counter(opts->counters, "sp_http_errors_total",
 	    "requests answered with a status of 400 or above");
-	http->gauge = ctr_gauge(opts->counters, "sp_http_in_progress",
-	    "requests from callers in progress");
-	/* Paths go to endpoints as the caller wrote them. */
+	http->in_progress_gauge = ctr_gauge(opts->counters,
+	    "sp_http_in_progress", "requests from callers in progress");
+	/* Endpoints must get paths with the caller's percent-encoding. */
 	http->server = g_object_new(SOUP_TYPE_SERVER, "raw-paths", TRUE,
 	    "server-header", "sequoiaplank", NULL);
 	soup_server_add_early_handler(
@@ -300,7 +305,6 @@
 	return http;
 }
 
-/* Closes the listener and every connection. */
 void
 http_free(struct http *http)
 {
@@ -309,7 +313,7 @@
 	g_free(http);
 }
 
-/* Returns the port that the listener got. */
+/* Returns the bound port. */
 uint16_t
 http_port(const struct http *http)
 {
@@ -320,7 +324,6 @@
 	return (uint16_t)port;
 }
 
-/* Returns the number of requests without a whole answer. */
 uint32_t
 http_in_progress(const struct http *http)
 {
--- a/src/request/callers.h
+++ b/src/request/callers.h
@@ -10,7 +10,10 @@
 #include "request/api.h"
 #include "request/passing.h"
 
-/* The callers' HTTP listener. */
+/*
+ * HTTP listener for callers: submission ids, jobs, pass-through requests,
+ * readiness, metrics and traces.
+ */
 struct http;
 
 struct http_options {
@@ -21,17 +24,17 @@
 	struct trc_ring *traces;
 	uint64_t max_body_bytes;
 	uint32_t max_requests; /* in progress */
-	int64_t receive_ms;    /* of one request; 0: HL_RECEIVE_MS */
+	int64_t receive_ms;    /* limit for one request; 0: HL_RECEIVE_MS */
 	bool (*is_ready)(void *ctx);
 	void *ctx;
 };
 
-/* NULL, with the reason, when the address can't be used. */
+/* Returns NULL and sets *st if the address can't be bound. */
 struct http *http_new(const struct http_options *opts, struct status *st);
 /* Closes every connection. */
 void http_free(struct http *http);
 uint16_t http_port(const struct http *http);
-/* Requests that have no whole answer yet. */
+/* Returns the number of requests whose answer is not sent completely. */
 uint32_t http_in_progress(const struct http *http);
 
 #endif
--- a/src/request/http_reply.c
+++ b/src/request/http_reply.c
@@ -2,7 +2,6 @@
 
 #include "request/http_reply.h"
 
-/* Answers with JSON. */
 void
 hr_json(SoupServerMessage *msg, uint32_t status, const char *body, size_t len)
 {
@@ -11,7 +10,6 @@
 	    msg, "application/json", SOUP_MEMORY_COPY, body, len);
 }
 
-/* Answers with plain text. */
 void
 hr_text(SoupServerMessage *msg, uint32_t status, const char *body)
 {
@@ -20,7 +18,6 @@
 	    SOUP_MEMORY_COPY, body, strlen(body));
 }
 
-/* Answers with a typed refusal. */
 void
 hr_refuse(SoupServerMessage *msg, enum ref_code code, const char *message)
 {
--- a/src/request/http_reply.h
+++ b/src/request/http_reply.h
@@ -5,10 +5,11 @@
 
 #include "request/refusal.h"
 
-/* Answers of an HTTP listener; the body is copied. */
+/* Set the answer of a message; the body is copied. */
 void hr_json(
     SoupServerMessage *msg, uint32_t status, const char *body, size_t len);
 void hr_text(SoupServerMessage *msg, uint32_t status, const char *body);
+/* Answers with the HTTP status and the JSON body of a refusal. */
 void hr_refuse(SoupServerMessage *msg, enum ref_code code, const char *message);
 
 #endif
--- a/src/request/ident.c
+++ b/src/request/ident.c
@@ -21,7 +21,7 @@
 	uint8_t key[ID_KEY_BYTES];
 };
 
-/* Makes an issuer with a given incarnation and key, as tests need it. */
+/* Makes an issuer with a fixed incarnation and key, for tests. */
 struct ident *
 id_new(uint64_t incarnation, const uint8_t key[ID_KEY_BYTES])
 {
@@ -53,14 +53,12 @@
 	return id_new(incarnation, key);
 }
 
-/* Frees the issuer. */
 void
 id_free(struct ident *ids)
 {
 	g_free(ids);
 }
 
-/* Returns the incarnation of this process. */
 uint64_t
 id_incarnation(const struct ident *ids)
 {
@@ -68,7 +66,7 @@
 }
 
 static void
-format_head(uint64_t incarnation, uint64_t counter, char *out)
+format_prefix(uint64_t incarnation, uint64_t counter, char *out)
 {
 	snprintf(out, TAG_POS + 1,
 	    "%016" G_GINT64_MODIFIER "x-%012" G_GINT64_MODIFIER "x-",
@@ -76,7 +74,7 @@
 }
 
 static void
-format_tag(const struct ident *ids, const char *head, char *out)
+format_tag(const struct ident *ids, const char *prefix, char *out)
 {
 	uint8_t digest[SHA256_BYTES];
 	gsize len = sizeof(digest);
@@ -84,20 +82,19 @@
 	int i;
 
 	hmac = g_hmac_new(G_CHECKSUM_SHA256, ids->key, sizeof(ids->key));
-	g_hmac_update(hmac, (const guchar *)head, TAG_POS);
+	g_hmac_update(hmac, (const guchar *)prefix, TAG_POS);
 	g_hmac_get_digest(hmac, digest, &len);
 	g_hmac_unref(hmac);
 	for (i = 0; i < TAG_BYTES; i++)
 		snprintf(out + 2 * (size_t)i, 3, "%02x", digest[i]);
 }
 
-/* Writes a new id. */
 void
 id_mint(struct ident *ids, char out[ID_LEN + 1])
 {
 	if (ids->next > ID_COUNTER_MAX)
 		g_error("submission ids exhausted");
-	format_head(ids->incarnation, ids->next++, out);
+	format_prefix(ids->incarnation, ids->next++, out);
 	format_tag(ids, out, out + TAG_POS);
 }
 
@@ -108,7 +105,7 @@
 
 	*value = 0;
 	for (i = 0; i < digits; i++) {
-		/* One spelling per id, so that the table has one key for it. */
+		/* Only lower case, so that an id has one key in the table. */
 		if (!g_ascii_isdigit(text[i]) &&
 		    !(text[i] >= 'a' && text[i] <= 'f'))
 			return false;
@@ -117,7 +114,7 @@
 	return true;
 }
 
-/* Compares in a time that tells nothing about the position of a difference. */
+/* Takes constant time, which doesn't reveal where a guessed tag differs. */
 static bool
 tags_equal(const char *a, const char *b)
 {
@@ -151,14 +148,13 @@
 	return ID_OWN;
 }
 
-/* Returns the counter below which ids without a record are expired. */
+/* Returns the counter below which ids without a job record have expired. */
 uint64_t
 id_low_water(const struct ident *ids)
 {
 	return ids->low_water;
 }
 
-/* Expires every id with a counter below the given one. */
 void
 id_raise_low_water(struct ident *ids, uint64_t counter)
 {
--- a/src/request/ident.h
+++ b/src/request/ident.h
@@ -4,9 +4,9 @@
 #include <stdint.h>
 
 /*
- * Submission ids "<incarnation>-<counter>-<tag>" of one entry process.  The
- * tag is a truncated HMAC-SHA256, so minted ids need no storage and no other
- * client can guess one.
+ * Issuer of submission ids "<incarnation>-<counter>-<tag>" in an entry process.
+ * The tag is a truncated HMAC-SHA256 of the rest, so issued ids need not be
+ * stored and a client can't guess another client's id.
  */
 struct ident;
 
@@ -15,9 +15,9 @@
 #define ID_COUNTER_MAX 0xffffffffffffULL
 
 enum id_check {
-	ID_OWN,	   /* minted by this process */
-	ID_OTHER,  /* well formed, of another incarnation */
-	ID_FORGED, /* own incarnation, but never minted */
+	ID_OWN,	   /* issued by this process */
+	ID_OTHER,  /* well-formed, with the incarnation of another process */
+	ID_FORGED, /* has this process's incarnation but was never issued */
 	ID_MALFORMED
 };
 
@@ -35,7 +35,10 @@
 enum id_check id_check(
     const struct ident *ids, const char *id, struct id_parts *parts);
 
-/* Ids with a lower counter never start any more; the mark only rises. */
+/*
+ * An id with a counter below the low-water mark never creates a job any more.
+ * The mark never decreases.
+ */
 uint64_t id_low_water(const struct ident *ids);
 void id_raise_low_water(struct ident *ids, uint64_t counter);
 
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -15,10 +15,10 @@
 	struct ops_options opts;
 	SoupServer *server;
 	uint16_t port;
-	GPtrArray *waiting; /* struct request, changes in progress */
+	GPtrArray *waiting; /* paused struct request */
 };
 
-/* A change whose answer is still to come. */
+/* A request for a configuration change in progress. */
 struct request {
 	struct ops *ops;
 	SoupServerMessage *msg;
@@ -42,7 +42,7 @@
     {ST_INTERNAL, 500, "internal", "unknown"},
 };
 
-/* Sends a JSON object, which it takes over. */
+/* Sends a JSON object and releases it. */
 static void
 send_json(SoupServerMessage *msg, unsigned code, struct json_object *object)
 {
@@ -127,9 +127,9 @@
 	return object;
 }
 
-/* Adds how far a version is in force. */
+/* Adds whether a version is in force, and the voters that still lack it. */
 static void
-add_progress(
+add_version_progress(
     const struct ops *ops, struct json_object *object, uint64_t version)
 {
 	struct json_object *missing = json_object_new_array();
@@ -148,7 +148,7 @@
 }
 
 static void
-add_outs(struct json_object *object, const struct cfg *cfg)
+add_out_of_service(struct json_object *object, const struct cfg *cfg)
 {
 	struct json_object *array = json_object_new_array();
 	const struct cfg_out *outs = NULL;
@@ -167,7 +167,7 @@
 }
 
 static void
-add_ages(const struct ops *ops, struct json_object *object)
+add_freshness(const struct ops *ops, struct json_object *object)
 {
 	int64_t now_ms = clk_now_ms();
 
@@ -186,8 +186,8 @@
 	add_int(object, "version", cfg == NULL ? 0 : (int64_t)cfg_version(cfg));
 	add_string(object, "change_id", cfg == NULL ? "" : cfg_change_id(cfg));
 	add_string(object, "text", cfg == NULL ? "" : cfg_text(cfg));
-	add_outs(object, cfg);
-	add_ages(ops, object);
+	add_out_of_service(object, cfg);
+	add_freshness(ops, object);
 	send_json(msg, 200, object);
 }
 
@@ -205,10 +205,10 @@
 		return;
 	}
 	object = json_object_new_object();
-	add_progress(ops, object, version);
+	add_version_progress(ops, object, version);
 	add_int(
 	    object, "held_version", (int64_t)fresh_version(ops->opts.fresh));
-	add_ages(ops, object);
+	add_freshness(ops, object);
 	send_json(msg, 200, object);
 }
 
@@ -263,9 +263,9 @@
 	add_string(object, "failure_domain", ops->opts.self.failure_domain);
 	add_hex(object, "incarnation", ops->opts.self.incarnation);
 	add_bool(object, "registered", mem_is_registered(ops->opts.mem));
-	add_progress(ops, config, fresh_version(ops->opts.fresh));
-	add_outs(config, fresh_config(ops->opts.fresh));
-	add_ages(ops, config);
+	add_version_progress(ops, config, fresh_version(ops->opts.fresh));
+	add_out_of_service(config, fresh_config(ops->opts.fresh));
+	add_freshness(ops, config);
 	add_voters(ops, config);
 	json_object_object_add(object, "config", config);
 	add_entries(ops, object);
@@ -291,7 +291,7 @@
 	request->done = true;
 	if (st->code == ST_OK) {
 		object = json_object_new_object();
-		add_progress(ops, object, version);
+		add_version_progress(ops, object, version);
 		send_json(request->msg, 200, object);
 	} else {
 		send_refusal(request->msg, st);
@@ -313,7 +313,7 @@
 	return request;
 }
 
-/* Waits for on_done() unless it ran within the call already. */
+/* Pauses the request until on_done(), unless that has run already. */
 static void
 request_wait(struct request *request)
 {
@@ -423,7 +423,7 @@
 typedef void (*change_fn)(
     struct ops *ops, SoupServerMessage *msg, const struct jsonc_node *body);
 
-/* Parses the body of a change. */
+/* Parses the body of a request for a change and calls fn with it. */
 static void
 handle_change(struct ops *ops, SoupServerMessage *msg, change_fn fn)
 {
@@ -513,7 +513,7 @@
 		refuse(msg, ST_NOT_FOUND, "no such method and path");
 }
 
-/* A body that will be refused is not stored. */
+/* Refuses a body that is too large before it is stored. */
 static void
 on_headers(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, gpointer ctx)
@@ -543,7 +543,6 @@
 	return true;
 }
 
-/* Starts to listen for operators. */
 struct ops *
 ops_new(const struct ops_options *opts, struct status *st)
 {
@@ -579,7 +578,6 @@
 	g_free(ops);
 }
 
-/* Returns the port that the listener is bound to. */
 uint16_t
 ops_port(const struct ops *ops)
 {
--- a/src/request/operators.h
+++ b/src/request/operators.h
@@ -10,26 +10,27 @@
 #include "version/members.h"
 #include "version/reader.h"
 
-/* Operators' HTTP of an entry, see section 7 of docs/design.md. */
+/* HTTP interface of an entry for operators; see docs/design.md, section 7. */
 struct ops;
 
 struct ops_options {
 	const char *listen; /* "ip:port"; port 0 picks a free one */
-	struct chg *chg;    /* all objects must outlive the ops */
+	struct chg *chg;    /* these objects must outlive the ops */
 	struct fresh *fresh;
 	struct rdr *rdr;
 	struct mem *mem;
 	struct mem_entry self; /* strings must outlive the ops */
-	/* Adds what the entry knows (agents, queues) to GET /v1/status. */
+	/* Adds the state of agents and queues to GET /v1/status. */
 	void (*add_status)(struct json_object *status, void *ctx);
-	char *(*metrics)(void *ctx);			  /* g_free()d */
-	char *(*traces)(const char *trace_id, void *ctx); /* g_free()d */
+	/* Results are freed with g_free(). */
+	char *(*metrics)(void *ctx);
+	char *(*traces)(const char *trace_id, void *ctx);
 	void *ctx;
 };
 
-/* NULL on error; any of the callbacks may be NULL. */
+/* Returns NULL and sets *st on error.  Each callback may be NULL. */
 struct ops *ops_new(const struct ops_options *opts, struct status *st);
-/* Requests in progress get no answer; their changes go on. */
+/* Requests in progress get no answer, but their changes are completed. */
 void ops_free(struct ops *ops);
 uint16_t ops_port(const struct ops *ops);
 
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -5,10 +5,10 @@
 
 #define RESULT_OVERHEAD_BYTES 64 /* XDR size of the fixed fields */
 #define HEADER_OVERHEAD_BYTES 16
-/* Refusals above the record limit are kept up to this multiple of it. */
-#define OVERFLOW_FACTOR 2
-/* 120 process restarts a day leave a returning entry remembered for days. */
-#define FORGOTTEN_MAX 1024
+/* Above max_records, refusals are recorded up to this multiple of it. */
+#define REFUSAL_RECORDS_FACTOR 2
+/* At 120 process restarts a day, an incarnation is remembered for 8 days. */
+#define MAX_FORGOTTEN_ENTRIES 1024
 
 struct record {
 	uint64_t seq;
@@ -20,19 +20,19 @@
 struct entry {
 	uint64_t incarnation;
 	bool open;
-	int64_t closed_ms; /* oldest forgotten first */
-	uint64_t min_seq;
+	int64_t closed_ms;   /* when the connection closed */
+	uint64_t min_seq;    /* unrecorded seqs below are refused */
 	uint64_t lost_below; /* unrecorded seqs below may have started */
 	uint64_t max_accepted;
-	uint64_t last_number; /* of the newest result */
-	uint64_t sent;	      /* highest number sent on this connection */
-	uint64_t highest_sent;
-	uint64_t bytes;
-	GHashTable *records; /* seq -> struct record */
-	GQueue results;	     /* struct record, by number, ends at last_number */
+	uint64_t last_number;  /* of the newest result */
+	uint64_t sent;	       /* highest number sent on this connection */
+	uint64_t highest_sent; /* highest number sent on any connection */
+	uint64_t bytes;	       /* of the unacknowledged results */
+	GHashTable *records;   /* seq -> struct record */
+	GQueue results; /* unacknowledged struct record, up to last_number */
 };
 
-/* What remains of an incarnation whose records were dropped. */
+/* State kept of an incarnation whose records were dropped. */
 struct forgotten {
 	uint64_t incarnation;
 	uint64_t min_seq;
@@ -66,12 +66,11 @@
 }
 
 static struct entry *
-find(const struct out *out, uint64_t entry)
+find_entry(const struct out *out, uint64_t entry)
 {
 	return g_hash_table_lookup(out->entries, &entry);
 }
 
-/* Makes an empty set of records; the limits are per entry incarnation. */
 struct out *
 out_new(const struct out_options *opts)
 {
@@ -84,7 +83,6 @@
 	return out;
 }
 
-/* Frees every record. */
 void
 out_free(struct out *out)
 {
@@ -96,7 +94,7 @@
 }
 
 static void
-forget(struct out *out, struct entry *e)
+forget_entry(struct out *out, struct entry *e)
 {
 	struct forgotten *f = g_new0(struct forgotten, 1);
 
@@ -107,13 +105,13 @@
 		f->lost_below = MAX(e->lost_below, e->max_accepted + 1);
 	f->min_seq = MAX(e->min_seq, f->lost_below);
 	g_queue_push_tail(&out->forgotten, f);
-	if (out->forgotten.length > FORGOTTEN_MAX)
+	if (out->forgotten.length > MAX_FORGOTTEN_ENTRIES)
 		g_free(g_queue_pop_head(&out->forgotten));
 	g_hash_table_remove(out->entries, &e->incarnation);
 }
 
 static void
-recall(struct out *out, struct entry *e)
+restore_forgotten(struct out *out, struct entry *e)
 {
 	GList *l;
 
@@ -148,17 +146,14 @@
 			oldest = e;
 	}
 	if (oldest != NULL)
-		forget(out, oldest);
+		forget_entry(out, oldest);
 }
 
-/*
- * Notes a new connection to an entry incarnation.  Every unacknowledged
- * result is sent again on it.
- */
+/* Every unacknowledged result will be sent again on the new connection. */
 void
 out_open(struct out *out, uint64_t entry)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	if (e == NULL) {
 		if (g_hash_table_size(out->entries) >= out->opts.max_entries)
@@ -168,18 +163,18 @@
 		e->records = g_hash_table_new_full(
 		    g_int64_hash, g_int64_equal, NULL, record_free);
 		g_queue_init(&e->results);
-		recall(out, e);
+		restore_forgotten(out, e);
 		g_hash_table_insert(out->entries, &e->incarnation, e);
 	}
 	e->open = true;
 	e->sent = e->last_number - e->results.length;
 }
 
-/* Notes that the connection is closed; the records stay. */
+/* Keeps the records, since the entry may connect again. */
 void
 out_close(struct out *out, uint64_t entry, int64_t now_ms)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	if (e == NULL)
 		return;
@@ -188,16 +183,16 @@
 }
 
 /*
- * Forgets an incarnation that was replaced.  Should it appear again, starts
- * that were recorded are reported as unknown, never as unseen.
+ * If the incarnation connects again in spite of it, starts whose records were
+ * dropped are reported as unknown, never as unseen.
  */
 void
 out_gone(struct out *out, uint64_t entry)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	if (e != NULL)
-		forget(out, e);
+		forget_entry(out, e);
 }
 
 static struct record *
@@ -227,7 +222,7 @@
 }
 
 static void
-record_done(struct entry *e, struct record *rec)
+queue_result(struct entry *e, struct record *rec)
 {
 	rec->state = WIRE_STATE_DONE;
 	rec->bytes = result_bytes(&rec->result);
@@ -237,34 +232,36 @@
 }
 
 static void
-record_without_answer(struct entry *e, struct record *rec,
+queue_result_without_answer(struct entry *e, struct record *rec,
     enum wire_outcome outcome, enum wire_reason reason)
 {
 	memset(&rec->result, 0, sizeof(rec->result));
 	rec->result.seq = rec->seq;
 	rec->result.outcome = outcome;
 	rec->result.reason = reason;
-	record_done(e, rec);
+	queue_result(e, rec);
 }
 
 static enum out_verdict
-refuse(struct out *out, struct entry *e, uint64_t seq, enum wire_reason reason)
+record_refusal(
+    struct out *out, struct entry *e, uint64_t seq, enum wire_reason reason)
 {
 	if (g_hash_table_size(e->records) >=
-	    OVERFLOW_FACTOR * out->opts.max_records)
+	    REFUSAL_RECORDS_FACTOR * out->opts.max_records)
 		return OUT_OVERFLOW;
-	record_without_answer(e, record_new(e, seq), WIRE_NOT_STARTED, reason);
+	queue_result_without_answer(
+	    e, record_new(e, seq), WIRE_NOT_STARTED, reason);
 	return OUT_REFUSED;
 }
 
 /*
- * Decides on a START.  A seq that is recorded is a duplicate; one below
- * min_seq is refused, as UNKNOWN when its record was lost.
+ * Decides on a received START.  A recorded seq is a duplicate, as is one whose
+ * record was dropped, since it may have run.  Others below min_seq are refused.
  */
 enum out_verdict
 out_start(struct out *out, uint64_t entry, uint64_t seq)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	if (e == NULL)
 		return OUT_OVERFLOW;
@@ -273,20 +270,19 @@
 	if (seq < e->lost_below)
 		return OUT_DUPLICATE;
 	if (seq < e->min_seq)
-		return refuse(out, e, seq, WIRE_REASON_SEALED);
+		return record_refusal(out, e, seq, WIRE_REASON_SEALED);
 	if (g_hash_table_size(e->records) >= out->opts.max_records ||
 	    e->bytes >= out->opts.max_bytes)
-		return refuse(out, e, seq, WIRE_REASON_QUEUE_FULL);
+		return record_refusal(out, e, seq, WIRE_REASON_QUEUE_FULL);
 	record_new(e, seq);
 	e->max_accepted = MAX(e->max_accepted, seq);
 	return OUT_ACCEPTED;
 }
 
-/* Notes that the call to the endpoint begins. */
 void
 out_running(struct out *out, uint64_t entry, uint64_t seq)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 	struct record *rec =
 	    e == NULL ? NULL : g_hash_table_lookup(e->records, &seq);
 
@@ -295,13 +291,13 @@
 }
 
 /*
- * Records the result of a start.  An answer that does not fit within
- * max_bytes is dropped and reported as unknown.
+ * Records the result of a start.  If the answer does not fit within max_bytes
+ * it is dropped and the outcome becomes unknown.
  */
 void
 out_finish(struct out *out, uint64_t entry, struct wire_result *result)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 	struct record *rec =
 	    e == NULL ? NULL : g_hash_table_lookup(e->records, &result->seq);
 
@@ -310,16 +306,16 @@
 	} else if (result_bytes(result) > RESULT_OVERHEAD_BYTES &&
 		   e->bytes + result_bytes(result) > out->opts.max_bytes) {
 		xdr_free((xdrproc_t)xdr_wire_result, result);
-		record_without_answer(
+		queue_result_without_answer(
 		    e, rec, WIRE_UNKNOWN, WIRE_REASON_TOO_LARGE);
 	} else {
 		rec->result = *result;
-		record_done(e, rec);
+		queue_result(e, rec);
 	}
 	memset(result, 0, sizeof(*result));
 }
 
-/* Records that a start that was accepted will not run. */
+/* Records that an accepted start will never run. */
 void
 out_not_started(
     struct out *out, uint64_t entry, uint64_t seq, enum wire_reason reason)
@@ -334,13 +330,14 @@
 }
 
 /*
- * Drops acknowledged results.  min_seq rises past each of them: an entry
- * sends its starts before it acknowledges a result of a later one.
+ * Drops acknowledged results and raises min_seq above their seqs.  This refuses
+ * no new start, since an entry sends every start before it acknowledges the
+ * result of one with a higher seq.
  */
 void
 out_ack(struct out *out, uint64_t entry, uint64_t number)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 	uint64_t first;
 
 	if (e == NULL)
@@ -357,24 +354,23 @@
 	e->sent = MAX(e->sent, e->last_number - e->results.length);
 }
 
-/* Raises min_seq, so that no unrecorded lower seq can start any more. */
 void
 out_seal(struct out *out, uint64_t entry, uint64_t next_seq)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	if (e != NULL)
 		e->min_seq = MAX(e->min_seq, next_seq);
 }
 
 /*
- * Returns the state of a seq.  One whose record was lost gets an UNKNOWN
- * result; one at or above min_seq is sealed first.
+ * A seq whose record was dropped gets an UNKNOWN result.  An unseen seq at or
+ * above min_seq is sealed, so that the reported state stays true.
  */
 enum wire_state
 out_state(struct out *out, uint64_t entry, uint64_t seq)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 	struct record *rec;
 
 	if (e == NULL)
@@ -382,7 +378,8 @@
 	rec = g_hash_table_lookup(e->records, &seq);
 	if (rec == NULL && seq < e->lost_below) {
 		rec = record_new(e, seq);
-		record_without_answer(e, rec, WIRE_UNKNOWN, WIRE_REASON_BROKEN);
+		queue_result_without_answer(
+		    e, rec, WIRE_UNKNOWN, WIRE_REASON_BROKEN);
 	}
 	if (rec != NULL)
 		return rec->state;
@@ -390,12 +387,11 @@
 	return WIRE_STATE_UNSEEN;
 }
 
-/* Collects the next results to send; see the header. */
 bool
 out_batch(struct out *out, uint64_t entry, size_t max_bytes,
     struct wire_results_args *args)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 	uint64_t acked;
 	size_t bytes = 0, n = 0;
 	GList *l, *first;
@@ -423,25 +419,23 @@
 	return true;
 }
 
-/* Returns the number of records of an entry incarnation. */
 size_t
 out_records(const struct out *out, uint64_t entry)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	return e == NULL ? 0 : g_hash_table_size(e->records);
 }
 
-/* Returns the bytes of unacknowledged results of an entry incarnation. */
 uint64_t
 out_bytes(const struct out *out, uint64_t entry)
 {
-	struct entry *e = find(out, entry);
+	struct entry *e = find_entry(out, entry);
 
 	return e == NULL ? 0 : e->bytes;
 }
 
-/* Runs fn for each entry incarnation with records; fn changes none. */
+/* Runs fn, which must not change records, for each incarnation with some. */
 void
 out_each(const struct out *out, out_entry_fn fn, void *ctx)
 {
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -8,58 +8,64 @@
 #include "connection/wire_xdr.h"
 
 /*
- * Records of the starts that entries sent to this agent, by entry
- * incarnation and seq.  A seq that was accepted once is from then on either
- * recorded or below min_seq, so it is never accepted again.
+ * An agent's records of the task starts that entries sent to it, by entry
+ * incarnation and sequence number (seq), and of their results until the entry
+ * acknowledges them.  A seq that was accepted stays recorded or is below
+ * min_seq, so it is never accepted twice.
  */
 struct out;
 
 struct out_options {
 	uint32_t max_records; /* accepted and not acknowledged, per entry */
-	uint64_t max_bytes;   /* unacknowledged answers, per entry */
-	uint32_t max_entries; /* incarnations with records */
+	uint64_t max_bytes;   /* unacknowledged results, per entry */
+	uint32_t max_entries; /* incarnations; above, closed ones are dropped */
 };
 
 enum out_verdict {
 	OUT_ACCEPTED,
-	OUT_DUPLICATE, /* recorded before; nothing to do */
+	OUT_DUPLICATE, /* received before; to be ignored */
 	OUT_REFUSED,   /* a NOT_STARTED result was recorded */
-	OUT_OVERFLOW   /* no room even for a refusal: close the connection */
+	OUT_OVERFLOW   /* not even a refusal fits: close the connection */
 };
 
 struct out *out_new(const struct out_options *opts);
 void out_free(struct out *out);
 
-/* A connection to this entry incarnation opened or closed. */
+/* A connection to this entry incarnation was opened or closed. */
 void out_open(struct out *out, uint64_t entry);
 void out_close(struct out *out, uint64_t entry, int64_t now_ms);
-/* The incarnation ended: forgets it.  Its queued starts must not run. */
+/*
+ * Drops the records of an incarnation that has exited; its queued starts must
+ * not run any more.
+ */
 void out_gone(struct out *out, uint64_t entry);
 
 enum out_verdict out_start(struct out *out, uint64_t entry, uint64_t seq);
+/* The call to the endpoint begins. */
 void out_running(struct out *out, uint64_t entry, uint64_t seq);
-/* Takes over the contents of result, which is zeroed. */
+/* Takes ownership of the contents of result and zeroes it. */
 void out_finish(struct out *out, uint64_t entry, struct wire_result *result);
 void out_not_started(
     struct out *out, uint64_t entry, uint64_t seq, enum wire_reason reason);
-/* Drops the results up to and including this number. */
+/* The entry acknowledged the results up to and including this number. */
 void out_ack(struct out *out, uint64_t entry, uint64_t number);
 
-/* Refuses from now on every unrecorded seq below next_seq. */
+/* From now on, starts with an unrecorded seq below next_seq are refused. */
 void out_seal(struct out *out, uint64_t entry, uint64_t next_seq);
-/* State of a seq after out_seal(). */
+/* Returns the state of a seq; an unseen one can't start any more. */
 enum wire_state out_state(struct out *out, uint64_t entry, uint64_t seq);
 
 /*
- * Fills args with the next results that this connection has not carried, at
- * most max_bytes of them but at least one; false when there are none.  The
- * array is freed with g_free(), its contents stay with out.
+ * Fills args with the next results not yet sent on the open connection: at
+ * least one, and further ones up to max_bytes in all.  Returns false if there
+ * are none.  The caller frees the array with g_free(); out owns its contents.
  */
 bool out_batch(struct out *out, uint64_t entry, size_t max_bytes,
     struct wire_results_args *args);
 
-/* Starts not finished and results not acknowledged. */
+/* Returns the number of unfinished starts and unacknowledged results. */
 size_t out_records(const struct out *out, uint64_t entry);
+/* Returns the size of the unacknowledged results. */
 uint64_t out_bytes(const struct out *out, uint64_t entry);
 /* closed_ms is -1 while a connection is open. */
 typedef void (*out_entry_fn)(uint64_t entry, int64_t closed_ms, void *ctx);
--- a/src/request/passing.c
+++ b/src/request/passing.c
@@ -5,31 +5,32 @@
 #include "request/http_reply.h"
 #include "request/passing.h"
 
-#define METHOD_MAX	   16 /* sizes of wire_start */
-#define PATH_MAX_BYTES	   4096
-#define HEADER_NAME_MAX	   WIRE_NAME_MAX
-#define HEADER_VALUE_MAX   4096
-#define DEFAULT_TIMEOUT_MS JF_DEFAULT_DEADLINE_MS
+/* The first four are limits of wire_start. */
+#define MAX_METHOD_BYTES       16
+#define MAX_PATH_BYTES	       4096
+#define MAX_HEADER_NAME_BYTES  WIRE_NAME_MAX
+#define MAX_HEADER_VALUE_BYTES 4096
+#define DEFAULT_TIMEOUT_MS     JF_DEFAULT_DEADLINE_MS
 
 struct pass {
 	struct pass_options opts;
-	uint64_t next;
+	uint64_t next_request;
 };
 
-/* One request that waits for its endpoint. */
-struct waiting {
+/* A submitted request whose endpoint has not answered. */
+struct pending {
 	struct pass *pass;
 	SoupServerMessage *msg; /* paused, holds a reference */
 	struct job *job;
 	uint64_t waiter;
-	gulong finished_id;
+	gulong caller_gone_id;
 	struct trc_context span;
 	int64_t start_wall_us;
 	int64_t start_ns;
 };
 
-/* What the request says, checked. */
-struct form {
+/* A parsed and validated request. */
+struct request {
 	char *service;
 	char *path;
 	const char *team;
@@ -38,18 +39,17 @@
 	GArray *headers; /* struct job_header, borrowed strings */
 };
 
-/* Makes the object. */
 struct pass *
 pass_new(const struct pass_options *opts)
 {
 	struct pass *pass = g_new0(struct pass, 1);
 
 	pass->opts = *opts;
-	pass->next = 1;
+	pass->next_request = 1;
 	return pass;
 }
 
-/* Frees the object; no request may wait. */
+/* No request may be pending. */
 void
 pass_free(struct pass *pass)
 {
@@ -57,7 +57,7 @@
 }
 
 static bool
-is_listed(const char *name, const char *connection)
+is_connection_option(const char *name, const char *connection)
 {
 	char **tokens;
 	bool found = false;
@@ -72,7 +72,6 @@
 	return found;
 }
 
-/* Reports whether a header must not be passed on. */
 bool
 pass_is_hop_by_hop(const char *name, const char *connection)
 {
@@ -84,12 +83,12 @@
 	bool found = g_strv_contains(names, lower);
 
 	g_free(lower);
-	return found || is_listed(name, connection);
+	return found || is_connection_option(name, connection);
 }
 
-/* Headers that this system sets itself. */
+/* Headers that are not forwarded because this system sets or reads them. */
 static bool
-is_own_header(const char *name)
+is_control_header(const char *name)
 {
 	return g_ascii_strcasecmp(name, "host") == 0 ||
 	       g_ascii_strcasecmp(name, "traceparent") == 0 ||
@@ -97,7 +96,8 @@
 }
 
 static bool
-collect_headers(SoupMessageHeaders *from, struct form *form, struct status *why)
+collect_headers(
+    SoupMessageHeaders *from, struct request *request, struct status *why)
 {
 	const char *connection =
 	    soup_message_headers_get_list(from, "Connection");
@@ -105,42 +105,44 @@
 	SoupMessageHeadersIter iter;
 	const char *name, *value;
 
-	form->headers = g_array_new(FALSE, FALSE, sizeof(struct job_header));
+	request->headers = g_array_new(FALSE, FALSE, sizeof(struct job_header));
 	soup_message_headers_iter_init(&iter, from);
 	while (soup_message_headers_iter_next(&iter, &name, &value)) {
-		if (pass_is_hop_by_hop(name, connection) || is_own_header(name))
+		if (pass_is_hop_by_hop(name, connection) ||
+		    is_control_header(name))
 			continue;
-		if (strlen(name) > HEADER_NAME_MAX ||
-		    strlen(value) > HEADER_VALUE_MAX ||
-		    form->headers->len == WIRE_HEADERS_MAX) {
+		if (strlen(name) > MAX_HEADER_NAME_BYTES ||
+		    strlen(value) > MAX_HEADER_VALUE_BYTES ||
+		    request->headers->len == WIRE_HEADERS_MAX) {
 			st_set(why, ST_LIMIT, "too many or too long headers");
 			return false;
 		}
 		header.name = (char *)name;
 		header.value = (char *)value;
-		g_array_append_val(form->headers, header);
+		g_array_append_val(request->headers, header);
 	}
 	return true;
 }
 
 static bool
-read_path(SoupServerMessage *msg, struct form *form, struct status *why)
+read_path(SoupServerMessage *msg, struct request *request, struct status *why)
 {
 	GUri *uri = soup_server_message_get_uri(msg);
 	const char *rest = g_uri_get_path(uri) + strlen(PASS_PREFIX);
 	const char *slash = strchr(rest, '/');
 	const char *query = g_uri_get_query(uri);
 
-	form->service = slash != NULL ? g_strndup(rest, (gsize)(slash - rest))
-				      : g_strdup(rest);
-	form->path = g_strconcat(slash != NULL ? slash : "/",
+	request->service = slash != NULL
+			       ? g_strndup(rest, (gsize)(slash - rest))
+			       : g_strdup(rest);
+	request->path = g_strconcat(slash != NULL ? slash : "/",
 	    query != NULL ? "?" : "", query != NULL ? query : "", NULL);
-	if (!jsonc_is_name(form->service)) {
+	if (!jsonc_is_name(request->service)) {
 		st_set(why, ST_INVALID, "the service name is malformed");
 		return false;
 	}
-	if (strlen(form->path) > PATH_MAX_BYTES ||
-	    strlen(soup_server_message_get_method(msg)) > METHOD_MAX) {
+	if (strlen(request->path) > MAX_PATH_BYTES ||
+	    strlen(soup_server_message_get_method(msg)) > MAX_METHOD_BYTES) {
 		st_set(why, ST_LIMIT, "the path or the method is too long");
 		return false;
 	}
@@ -157,31 +159,33 @@
 }
 
 static bool
-read_own_headers(SoupServerMessage *msg, struct form *form, struct status *why)
+read_control_headers(
+    SoupServerMessage *msg, struct request *request, struct status *why)
 {
 	SoupMessageHeaders *headers =
 	    soup_server_message_get_request_headers(msg);
 	const char *text;
 	gint64 timeout_ms;
 
-	form->team = soup_message_headers_get_one(headers, "Sequoiaplank-Team");
-	if (form->team == NULL || !jsonc_is_name(form->team)) {
+	request->team =
+	    soup_message_headers_get_one(headers, "Sequoiaplank-Team");
+	if (request->team == NULL || !jsonc_is_name(request->team)) {
 		st_set(why, ST_INVALID,
 		    "Sequoiaplank-Team is missing or malformed");
 		return false;
 	}
-	form->idempotent =
+	request->idempotent =
 	    is_idempotent_method(soup_server_message_get_method(msg));
 	text = soup_message_headers_get_one(headers, "Sequoiaplank-Idempotent");
 	if (text != NULL) {
-		form->idempotent = strcmp(text, "true") == 0;
-		if (!form->idempotent && strcmp(text, "false") != 0) {
+		request->idempotent = strcmp(text, "true") == 0;
+		if (!request->idempotent && strcmp(text, "false") != 0) {
 			st_set(why, ST_INVALID,
 			    "Sequoiaplank-Idempotent: expected true or false");
 			return false;
 		}
 	}
-	form->timeout_ms = DEFAULT_TIMEOUT_MS;
+	request->timeout_ms = DEFAULT_TIMEOUT_MS;
 	text = soup_message_headers_get_one(headers, "Sequoiaplank-Timeout-Ms");
 	if (text == NULL)
 		return true;
@@ -192,34 +196,34 @@
 		    JF_MAX_DEADLINE_MS);
 		return false;
 	}
-	form->timeout_ms = timeout_ms;
+	request->timeout_ms = timeout_ms;
 	return true;
 }
 
 static void
-free_waiting(struct waiting *w)
+free_pending(struct pending *w)
 {
-	if (w->finished_id != 0)
-		g_signal_handler_disconnect(w->msg, w->finished_id);
+	if (w->caller_gone_id != 0)
+		g_signal_handler_disconnect(w->msg, w->caller_gone_id);
 	job_unref(w->job);
 	g_object_unref(w->msg);
 	g_free(w);
 }
 
-/* The caller went away, so nobody needs the answer. */
+/* The caller disconnected before the answer: cancels the job. */
 static void
-on_finished(SoupServerMessage *msg, gpointer data)
+on_caller_gone(SoupServerMessage *msg, gpointer data)
 {
-	struct waiting *w = data;
+	struct pending *w = data;
 
 	(void)msg;
 	job_unwait(w->job, w->waiter);
 	dsp_cancel(w->pass->opts.dispatch, w->job, clk_now_ms());
-	free_waiting(w);
+	free_pending(w);
 }
 
 static void
-answer_done(SoupServerMessage *msg, const struct job_task *task)
+answer_result(SoupServerMessage *msg, const struct job_task *task)
 {
 	SoupMessageHeaders *headers =
 	    soup_server_message_get_response_headers(msg);
@@ -258,24 +262,24 @@
 static void
 on_done(struct job *job, void *ctx)
 {
-	struct waiting *w = ctx;
+	struct pending *w = ctx;
 
 	if (job_state(job) == JOB_COMPLETE)
-		answer_done(w->msg, job_task(job, 0));
+		answer_result(w->msg, job_task(job, 0));
 	else
 		answer_failed(w->msg, job);
 	trc_finish(w->pass->opts.traces, &w->span, "entry", w->start_wall_us,
 	    (clk_now_ns() - w->start_ns) / 1000, job_state(job) == JOB_COMPLETE,
 	    job_service(job));
 	soup_server_message_unpause(w->msg);
-	free_waiting(w);
+	free_pending(w);
 }
 
 static void
 wait_for_endpoint(struct pass *pass, SoupServerMessage *msg, struct job *job,
     const struct trc_context *span)
 {
-	struct waiting *w = g_new0(struct waiting, 1);
+	struct pending *w = g_new0(struct pending, 1);
 
 	w->pass = pass;
 	w->msg = g_object_ref(msg);
@@ -284,80 +288,80 @@
 	w->start_wall_us = clk_wall_ms() * 1000;
 	w->start_ns = clk_now_ns();
 	w->waiter = job_wait(job, on_done, w);
-	w->finished_id =
-	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), w);
+	w->caller_gone_id =
+	    g_signal_connect(msg, "finished", G_CALLBACK(on_caller_gone), w);
 	soup_server_message_pause(msg);
 }
 
 static void
-submit(struct pass *pass, SoupServerMessage *msg, const struct form *form,
+submit(struct pass *pass, SoupServerMessage *msg, const struct request *request,
     GBytes *payload)
 {
 	char id[ID_LEN + 1], traceparent[TRC_PARENT_LEN + 1];
 	struct job_task_spec task = {.payload = payload};
-	struct adm_request want = {
-	    .service = form->service,
-	    .team = form->team,
+	struct adm_request admission = {
+	    .service = request->service,
+	    .team = request->team,
 	    .n_tasks = 1,
-	    .deadline_ms = form->timeout_ms,
+	    .deadline_ms = request->timeout_ms,
 	};
 	struct job_spec spec = {
 	    .id = id,
-	    .service = form->service,
-	    .team = form->team,
+	    .service = request->service,
+	    .team = request->team,
 	    .traceparent = traceparent,
-	    .deadline_ms = form->timeout_ms,
+	    .deadline_ms = request->timeout_ms,
 	    .tasks = &task,
 	    .n_tasks = 1,
 	    .method = soup_server_message_get_method(msg),
-	    .path = form->path,
-	    .headers = (struct job_header *)(void *)form->headers->data,
-	    .n_headers = form->headers->len,
-	    .idempotent = form->idempotent,
+	    .path = request->path,
+	    .headers = (struct job_header *)(void *)request->headers->data,
+	    .n_headers = request->headers->len,
+	    .idempotent = request->idempotent,
 	};
 	struct trc_context span;
 	struct status why;
 	enum ref_code code;
 	struct job *job;
 
-	/* Never a valid submission id, so no job can be put under it. */
+	/* Not a valid submission id, so callers can't submit a job with it. */
 	g_snprintf(id, sizeof(id),
 	    "%016" G_GINT64_MODIFIER "x-r%" G_GINT64_MODIFIER "x",
-	    pass->opts.incarnation, pass->next++);
+	    pass->opts.incarnation, pass->next_request++);
 	trc_start(&span,
 	    soup_message_headers_get_one(
 		soup_server_message_get_request_headers(msg), "traceparent"));
 	trc_format(&span, traceparent);
-	code = api_submit(pass->opts.api, &spec, &want, &job, &why);
+	code = api_submit(pass->opts.api, &spec, &admission, &job, &why);
 	if (code != REF_NONE)
 		hr_refuse(msg, code, why.message);
 	else
 		wait_for_endpoint(pass, msg, job, &span);
 }
 
-/* Checks a request and passes it on. */
+/* Validates a request and submits it as a job. */
 void
 pass_handle(struct pass *pass, SoupServerMessage *msg)
 {
 	GBytes *payload = soup_message_body_flatten(
 	    soup_server_message_get_request_body(msg));
-	struct form form = {.service = NULL};
+	struct request request = {.service = NULL};
 	struct status why = {.code = ST_INVALID};
 
 	if (g_bytes_get_size(payload) > WIRE_PAYLOAD_MAX)
 		hr_refuse(msg, REF_TOO_LARGE, "the body is too large");
-	else if (read_path(msg, &form, &why) &&
-		 read_own_headers(msg, &form, &why) &&
-		 collect_headers(
-		     soup_server_message_get_request_headers(msg), &form, &why))
-		submit(pass, msg, &form, payload);
+	else if (read_path(msg, &request, &why) &&
+		 read_control_headers(msg, &request, &why) &&
+		 collect_headers(soup_server_message_get_request_headers(msg),
+		     &request, &why))
+		submit(pass, msg, &request, payload);
 	else
 		hr_refuse(msg,
 		    why.code == ST_LIMIT ? REF_TOO_LARGE : REF_BAD_REQUEST,
 		    why.message);
 	g_bytes_unref(payload);
-	if (form.headers != NULL)
-		g_array_unref(form.headers);
-	g_free(form.service);
-	g_free(form.path);
+	if (request.headers != NULL)
+		g_array_unref(request.headers);
+	g_free(request.service);
+	g_free(request.path);
 }
--- a/src/request/passing.h
+++ b/src/request/passing.h
@@ -6,7 +6,10 @@
 #include "process/trace.h"
 #include "request/api.h"
 
-/* Single requests passed through to an endpoint: /v1/services/... */
+/*
+ * Pass-through of single HTTP requests, /v1/services/SERVICE/PATH, to an
+ * endpoint of the service.  Each request becomes a job of one task.
+ */
 
 #define PASS_PREFIX "/v1/services/"
 
@@ -21,9 +24,12 @@
 
 struct pass *pass_new(const struct pass_options *opts);
 void pass_free(struct pass *pass);
-/* Answers msg now or, after pausing it, later. */
+/* Answers msg at once, or pauses it until the endpoint has answered. */
 void pass_handle(struct pass *pass, SoupServerMessage *msg);
-/* Whether a header is about one connection only (RFC 9110 section 7.6.1). */
+/*
+ * Returns true for a hop-by-hop header (RFC 9110 section 7.6.1), which must
+ * not be forwarded.  connection: value of the header Connection, or NULL.
+ */
 bool pass_is_hop_by_hop(const char *name, const char *connection);
 
 #endif
--- a/src/request/refusal.h
+++ b/src/request/refusal.h
@@ -3,13 +3,13 @@
 
 #include <stdint.h>
 
-/* Why a request gets no result, as callers see it; see docs/callers.md. */
+/* Error codes of answers to callers; see docs/callers.md. */
 enum ref_code {
 	REF_NONE,
 	REF_BAD_REQUEST,
 	REF_BAD_ID,
 	REF_TOO_DEEP,
-	REF_METHOD,
+	REF_METHOD_NOT_ALLOWED,
 	REF_NOT_FOUND,
 	REF_CONFLICT,
 	REF_EXPIRED,
@@ -18,16 +18,16 @@
 	REF_TOO_MANY_TASKS,
 	REF_UNKNOWN_SERVICE,
 	REF_UNKNOWN_TEAM,
-	REF_OUT,
-	REF_DEPENDENCY,
+	REF_SERVICE_OUT,
+	REF_DEPENDENCY_UNAVAILABLE,
 	REF_NO_ENDPOINT,
 	REF_CAN_NEVER_RUN,
 	REF_QUEUE_FULL,
-	REF_HOPELESS,
+	REF_DEADLINE_TOO_SHORT,
 	REF_TEAM_QUOTA,
 	REF_SERVICE_LIMIT,
-	REF_TABLE_FULL,
-	REF_NOT_CURRENT,
+	REF_TOO_MANY_JOBS,
+	REF_CONFIG_NOT_CURRENT,
 	REF_SHUTTING_DOWN,
 	REF_OVERLOADED,
 	REF_OWNER_GONE,
@@ -38,8 +38,9 @@
 
 uint32_t ref_http_status(enum ref_code code);
 const char *ref_name(enum ref_code code);
+/* Returns "not_run" or "unknown", for the field "ran" of an answer. */
 const char *ref_ran(enum ref_code code);
-/* {"error","ran","message"}; the caller frees it with g_free(). */
+/* Return {"error","ran","message"}, to be freed with g_free(). */
 char *ref_json(enum ref_code code, const char *message);
 char *ref_json_of(const char *error, const char *ran, const char *message);
 
