--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -109,7 +109,7 @@
 	http->in_progress++;
 	*http->in_progress_gauge = http->in_progress;
 	(*http->requests)++;
-	/* A message may be freed with its connection without "finished". */
+	/* libsoup may free a message with its connection without "finished". */
 	g_object_set_data_full(
 	    G_OBJECT(msg), REQUEST_DATA_KEY, req, request_free);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_message_finished), req);
