--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -5,7 +5,7 @@
 
 /* The commands are listed in tests/cases/admit.txt. */
 
-struct world {
+struct fixture {
 	struct admit *adm;
 	struct cfg *cfg;
 	struct place *place;
@@ -30,13 +30,13 @@
 }
 
 static void
-configure(struct world *w, const char *out)
+configure(struct fixture *w, const char *out)
 {
-	struct cfg_out mark = {CFG_SERVICE, out};
+	struct cfg_out out_service = {CFG_SERVICE, out};
 	struct cfg_parts parts = {.version = 1,
 	    .change_id = "c",
 	    .text = text,
-	    .outs = &mark,
+	    .outs = &out_service,
 	    .n_outs = out != NULL ? 1 : 0};
 	char *document = cfg_write(&parts);
 	struct status st;
@@ -59,7 +59,7 @@
 	    .slots = 1,
 	    .cores = 8,
 	    .memory_mb = 1000};
-	struct world *w = g_new0(struct world, 1);
+	struct fixture *w = g_new0(struct fixture, 1);
 
 	w->adm = adm_new();
 	w->place = place_new(&opts);
@@ -75,7 +75,7 @@
 static void
 end(void *ctx)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	adm_free(w->adm);
 	place_free(w->place);
@@ -84,7 +84,7 @@
 }
 
 static void
-check(struct world *w, char **words, GString *actual)
+check(struct fixture *w, char **words, GString *actual)
 {
 	struct adm_request request = {.service = words[1],
 	    .team = words[2],
@@ -104,7 +104,7 @@
 		g_string_append(actual, "ok");
 		return;
 	}
-	/* Nothing is queued yet, whatever the reason of a refusal. */
+	/* A refused job was never queued, so it can't have run. */
 	ck_assert_str_eq(ref_ran(code), "not_run");
 	g_string_append(actual, ref_name(code));
 }
@@ -112,7 +112,7 @@
 static void
 step(void *ctx, char **words, GString *actual)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	if (strcmp(words[0], "ask") == 0)
 		check(w, words, actual);
--- a/tests/test_answertime.c
+++ b/tests/test_answertime.c
@@ -1,8 +1,8 @@
 #include "request/answertime.h"
 #include "runner.h"
 
-/* Without samples nothing is known: the longest timeout. */
-START_TEST(unknown)
+/* Without samples the longest timeout is used. */
+START_TEST(no_samples)
 {
 	struct ans ans = {0};
 
@@ -10,8 +10,8 @@
 }
 END_TEST
 
-/* Lost answers of a fast peer must be noticed early. */
-START_TEST(fast_peer)
+/* A lost answer of a fast peer must be noticed early. */
+START_TEST(fast_peer_has_short_timeout)
 {
 	struct ans ans = {0};
 	int i;
@@ -24,8 +24,8 @@
 }
 END_TEST
 
-/* A slow machine must not take its own delays for lost answers. */
-START_TEST(slow_machine)
+/* Delays of an overloaded machine must not be taken for lost answers. */
+START_TEST(timeout_exceeds_usual_delays)
 {
 	struct ans ans = {0};
 	int i;
@@ -36,8 +36,8 @@
 }
 END_TEST
 
-/* Misses in a row mean a slow peer; the timeout grows up to its bound. */
-START_TEST(misses_in_a_row)
+/* Consecutive misses indicate a slow peer: the timeout grows to its maximum. */
+START_TEST(consecutive_misses)
 {
 	struct ans ans = {0};
 	int i;
@@ -54,4 +54,5 @@
 }
 END_TEST
 
-TEST_MAIN("answertime", 0, unknown, fast_peer, slow_machine, misses_in_a_row)
+TEST_MAIN("answertime", 0, no_samples, fast_peer_has_short_timeout,
+    timeout_exceeds_usual_delays, consecutive_misses)
--- a/tests/test_callers.c
+++ b/tests/test_callers.c
@@ -7,8 +7,8 @@
 #include "runner.h"
 
 /*
- * libsoup 3.2.3 leaks the path of a request line that it rejects.  The stack
- * must be complete for the suppression to match.
+ * libsoup 3.2.3 leaks the path of a request line that it rejects.  The
+ * suppression only matches complete stacks, which need the slow unwinder.
  */
 const char *__asan_default_options(void);
 const char *__lsan_default_suppressions(void);
@@ -25,7 +25,7 @@
 	return "leak:soup_headers_parse_request\n";
 }
 
-/* One listener without agents; the commands are in tests/cases/callers.txt. */
+/* One listener without agents; the cases are in tests/cases/callers.txt. */
 
 #define LIMIT_MS 10000
 
@@ -46,7 +46,7 @@
 	struct pass *pass;
 	struct http *http;
 	enum api_owner owner;
-} world;
+} entry;
 
 static const char text[] =
     "{\"failure_domains\": [{\"name\": \"x\", \"entries\": true}],"
@@ -66,12 +66,12 @@
 	(void)service;
 	(void)ctx;
 	memset(facts, 0, sizeof(*facts));
-	facts->cfg = world.cfg;
+	facts->cfg = entry.cfg;
 	facts->current = true;
 	facts->live_entries = 1;
 	facts->service_live = true;
 	facts->is_live = is_live;
-	facts->place = world.place;
+	facts->place = entry.place;
 }
 
 static enum api_owner
@@ -79,7 +79,7 @@
 {
 	(void)incarnation;
 	(void)ctx;
-	return world.owner;
+	return entry.owner;
 }
 
 static struct {
@@ -112,7 +112,7 @@
 on_ended(struct job *job, void *ctx)
 {
 	(void)ctx;
-	api_ended(world.api, job);
+	api_ended(entry.api, job);
 }
 
 static void
@@ -125,7 +125,7 @@
 is_ready(void *ctx)
 {
 	(void)ctx;
-	return !api_is_closed(world.api);
+	return !api_is_closed(entry.api);
 }
 
 static void
@@ -135,8 +135,8 @@
 	char *document = cfg_write(&parts);
 	struct status st;
 
-	world.cfg = cfg_parse(document, strlen(document), &st);
-	ck_assert_msg(world.cfg != NULL, "%s", st.message);
+	entry.cfg = cfg_parse(document, strlen(document), &st);
+	ck_assert_msg(entry.cfg != NULL, "%s", st.message);
 	g_free(document);
 }
 
@@ -151,52 +151,52 @@
 	struct dsp_options dispatch = {
 	    .max_outstanding = 10, .wake = on_wake, .ended = on_ended};
 
-	world.fresh = fresh_new(3000);
-	world.place = place_new(&place);
-	place_add(world.place, &worker, 0);
-	world.eject = ej_new();
-	pool = (struct pool_options){world.place, world.eject, world.fresh};
-	world.pool = pool_new(&pool);
-	world.retry = rty_new(&retry);
-	dispatch.place = world.place;
-	dispatch.pool = world.pool;
-	dispatch.fresh = world.fresh;
-	dispatch.retry = world.retry;
-	dispatch.counters = world.counters;
-	world.dispatch = dsp_new(&dispatch);
+	entry.fresh = fresh_new(3000);
+	entry.place = place_new(&place);
+	place_add(entry.place, &worker, 0);
+	entry.eject = ej_new();
+	pool = (struct pool_options){entry.place, entry.eject, entry.fresh};
+	entry.pool = pool_new(&pool);
+	entry.retry = rty_new(&retry);
+	dispatch.place = entry.place;
+	dispatch.pool = entry.pool;
+	dispatch.fresh = entry.fresh;
+	dispatch.retry = entry.retry;
+	dispatch.counters = entry.counters;
+	entry.dispatch = dsp_new(&dispatch);
 }
 
 static void
 make_api(void)
 {
-	struct job_options jobs = {.ids = world.ids,
+	struct job_options jobs = {.ids = entry.ids,
 	    .max_jobs = 2,
 	    .max_answer_bytes = 1000,
 	    .max_bytes = 100000,
 	    .max_waiters = 2,
 	    .retention_ms = 1000};
-	struct api_options api = {.ids = world.ids,
-	    .dispatch = world.dispatch,
-	    .retry = world.retry,
-	    .counters = world.counters,
-	    .traces = world.traces,
+	struct api_options api = {.ids = entry.ids,
+	    .dispatch = entry.dispatch,
+	    .retry = entry.retry,
+	    .counters = entry.counters,
+	    .traces = entry.traces,
 	    .limits = {10, 1000},
 	    .facts = fill_facts,
 	    .owner = find_owner,
 	    .forward = forward};
-	struct pass_options pass = {.dispatch = world.dispatch,
-	    .traces = world.traces,
+	struct pass_options pass = {.dispatch = entry.dispatch,
+	    .traces = entry.traces,
 	    .incarnation = 1};
 
-	world.jobs = api.jobs = job_table_new(&jobs);
-	world.admit = api.admit = adm_new();
-	world.api = pass.api = api_new(&api);
-	world.pass = pass_new(&pass);
+	entry.jobs = api.jobs = job_table_new(&jobs);
+	entry.admit = api.admit = adm_new();
+	entry.api = pass.api = api_new(&api);
+	entry.pass = pass_new(&pass);
 }
 
 static int64_t receive_ms; /* 0: the default */
 
-/* max_requests 0: enough for all. */
+/* max_requests 0: a limit that no test reaches. */
 static void
 setup(uint32_t max_requests)
 {
@@ -208,42 +208,42 @@
 	    .is_ready = is_ready};
 	struct status st;
 
-	world.ids = id_new(1, key);
-	world.others = id_new(2, key);
-	world.forger = id_new(1, other_key);
-	world.counters = ctr_new();
-	world.traces = trc_new(10);
+	entry.ids = id_new(1, key);
+	entry.others = id_new(2, key);
+	entry.forger = id_new(1, other_key);
+	entry.counters = ctr_new();
+	entry.traces = trc_new(10);
 	make_config();
 	make_dispatch();
 	make_api();
-	http.api = world.api;
-	http.pass = world.pass;
-	http.counters = world.counters;
-	http.traces = world.traces;
-	world.http = http_new(&http, &st);
-	ck_assert_msg(world.http != NULL, "%s", st.message);
+	http.api = entry.api;
+	http.pass = entry.pass;
+	http.counters = entry.counters;
+	http.traces = entry.traces;
+	entry.http = http_new(&http, &st);
+	ck_assert_msg(entry.http != NULL, "%s", st.message);
 }
 
 static void
 teardown(void)
 {
-	http_free(world.http);
-	pass_free(world.pass);
-	api_free(world.api);
-	dsp_free(world.dispatch);
-	job_table_free(world.jobs);
-	adm_free(world.admit);
-	pool_free(world.pool);
-	ej_free(world.eject);
-	place_free(world.place);
-	rty_free(world.retry);
-	fresh_free(world.fresh);
-	cfg_unref(world.cfg);
-	trc_free(world.traces);
-	ctr_free(world.counters);
-	id_free(world.ids);
-	id_free(world.others);
-	id_free(world.forger);
+	http_free(entry.http);
+	pass_free(entry.pass);
+	api_free(entry.api);
+	dsp_free(entry.dispatch);
+	job_table_free(entry.jobs);
+	adm_free(entry.admit);
+	pool_free(entry.pool);
+	ej_free(entry.eject);
+	place_free(entry.place);
+	rty_free(entry.retry);
+	fresh_free(entry.fresh);
+	cfg_unref(entry.cfg);
+	trc_free(entry.traces);
+	ctr_free(entry.counters);
+	id_free(entry.ids);
+	id_free(entry.others);
+	id_free(entry.forger);
 }
 
 static GSocket *
@@ -252,7 +252,7 @@
 	GSocket *socket = g_socket_new(G_SOCKET_FAMILY_IPV4,
 	    G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
 	GSocketAddress *address = g_inet_socket_address_new_from_string(
-	    "127.0.0.1", http_port(world.http));
+	    "127.0.0.1", http_port(entry.http));
 
 	ck_assert(g_socket_connect(socket, address, NULL, NULL));
 	g_socket_set_blocking(socket, FALSE);
@@ -260,7 +260,7 @@
 	return socket;
 }
 
-/* Sends bytes and returns what comes back until the server closes. */
+/* Sends bytes; returns what is received until the server closes. */
 static char *
 exchange(const char *bytes, size_t len)
 {
@@ -285,7 +285,7 @@
 		else if (n < 0)
 			g_usleep(100);
 	}
-	ck_assert_msg(n == 0, "no end of the answer: %s", in->str);
+	ck_assert_msg(n == 0, "connection not closed after: %s", in->str);
 	g_object_unref(socket);
 	return g_string_free(in, FALSE);
 }
@@ -297,7 +297,7 @@
 		g_string_append(out, what);
 }
 
-/* Replaces $own, $other and $forged by ids, and the bodies named @... */
+/* Replaces $own, $other and $forged by ids and @... by a generated body. */
 static char *
 expand(const char *input)
 {
@@ -328,11 +328,11 @@
 		}
 		g_strfreev(words);
 	}
-	id_mint(world.ids, id);
+	id_mint(entry.ids, id);
 	g_string_replace(out, "$own", id, 0);
-	id_mint(world.others, id);
+	id_mint(entry.others, id);
 	g_string_replace(out, "$other", id, 0);
-	id_mint(world.forger, id);
+	id_mint(entry.forger, id);
 	g_string_replace(out, "$forged", id, 0);
 	return g_string_free(out, FALSE);
 }
@@ -401,22 +401,22 @@
 	return result;
 }
 
-/* Each malformed or refused request must get its own typed error. */
+/* Each malformed or refused request must get its own error code. */
 static char *
 send_case(const char *name, const char *text_of_case)
 {
 	char *input, *got;
 
-	world.owner = strstr(name, "gone") != NULL ? API_OWNER_GONE
+	entry.owner = strstr(name, "gone") != NULL ? API_OWNER_GONE
 		      : strstr(name, "unreachable") != NULL
 			  ? API_OWNER_UNREACHABLE
 			  : API_OWNER_REACHABLE;
 	setup(0);
 	if (strstr(name, "closing") != NULL)
-		api_close(world.api);
+		api_close(entry.api);
 	input = expand(text_of_case);
 	got = request(g_strchomp(input));
-	ck_assert_uint_eq(http_in_progress(world.http), 0);
+	ck_assert_uint_eq(http_in_progress(entry.http), 0);
 	g_free(input);
 	teardown();
 	return got;
@@ -436,20 +436,20 @@
 	g_free(input);
 }
 
-/* The second body of an id must not run, and a resubmission not twice. */
-START_TEST(life_of_a_job)
+/* An id must run only its first body, and only once if it is resubmitted. */
+START_TEST(submit_resubmit_and_cancel)
 {
 	char id[ID_LEN + 1], second[ID_LEN + 1], third[ID_LEN + 1];
 
 	setup(0);
-	id_mint(world.ids, id);
-	id_mint(world.ids, second);
-	id_mint(world.ids, third);
+	id_mint(entry.ids, id);
+	id_mint(entry.ids, second);
+	id_mint(entry.ids, third);
 	expect("GET", id, "", "404 not_found not_run");
 	expect("PUT", id, job_body, "202 running");
 	expect("PUT", id, job_body, "202 running");
-	ck_assert_uint_eq(job_table_count(world.jobs), 1);
-	ck_assert_uint_eq(dsp_waiting(world.dispatch, "s"), 1);
+	ck_assert_uint_eq(job_table_count(entry.jobs), 1);
+	ck_assert_uint_eq(dsp_waiting(entry.dispatch, "s"), 1);
 	expect("PUT", id, "{}", "409 conflict not_run");
 	expect("PUT", second, job_body, "202 running");
 	expect("PUT", third, job_body, "429 too_many_jobs not_run");
@@ -458,12 +458,12 @@
 	expect("PUT", third, job_body, "202 running");
 	expect("PUT", id, job_body, "410 expired unknown");
 	expect("GET", id, "", "410 expired unknown");
-	ck_assert_uint_eq(adm_team_tasks(world.admit, "t"), 2);
+	ck_assert_uint_eq(adm_team_tasks(entry.admit, "t"), 2);
 	teardown();
 }
 END_TEST
 
-/* Sends a PUT that waits, without reading its answer. */
+/* Submits a job whose answer is delayed; returns without reading it. */
 static GSocket *
 put_and_wait(const char *id)
 {
@@ -475,7 +475,7 @@
 	int i;
 
 	g_socket_send(socket, bytes, strlen(bytes), NULL, NULL);
-	for (i = 0; i < 1000 && job_table_count(world.jobs) == 0; i++) {
+	for (i = 0; i < 1000 && job_table_count(entry.jobs) == 0; i++) {
 		g_main_context_iteration(NULL, FALSE);
 		g_usleep(1000);
 	}
@@ -483,15 +483,15 @@
 	return socket;
 }
 
-/* A caller that goes away must not take its job along. */
-START_TEST(caller_goes_away)
+/* A job must go on when its caller disconnects. */
+START_TEST(job_outlives_its_caller)
 {
 	char id[ID_LEN + 1];
 	GSocket *socket;
 	int i;
 
 	setup(0);
-	id_mint(world.ids, id);
+	id_mint(entry.ids, id);
 	socket = put_and_wait(id);
 	g_socket_close(socket, NULL);
 	g_object_unref(socket);
@@ -505,22 +505,22 @@
 }
 END_TEST
 
-/* Waiting requests must not use up the memory of the process. */
+/* Requests in progress must be limited, since each takes memory. */
 START_TEST(too_many_requests)
 {
 	char id[ID_LEN + 1], fresh[ID_LEN + 1];
 	GSocket *socket;
 
 	setup(1);
-	id_mint(world.ids, id);
+	id_mint(entry.ids, id);
 	socket = put_and_wait(id);
-	/* Refused by its headers, so what the job does is not known. */
+	/* Refused without looking up the job, so its state is unknown. */
 	expect("GET", id, "", "503 overloaded unknown");
 	expect("PUT", id, job_body, "503 overloaded unknown");
-	id_mint(world.ids, fresh);
+	id_mint(entry.ids, fresh);
 	expect("PUT", fresh, job_body, "503 overloaded not_run");
-	dsp_cancel(world.dispatch, job_find(world.jobs, id), clk_now_ms());
-	while (http_in_progress(world.http) > 0)
+	dsp_cancel(entry.dispatch, job_find(entry.jobs, id), clk_now_ms());
+	while (http_in_progress(entry.http) > 0)
 		g_main_context_iteration(NULL, FALSE);
 	expect("GET", id, "", "502 cancelled not_run");
 	g_object_unref(socket);
@@ -528,8 +528,8 @@
 }
 END_TEST
 
-/* A chunked body that was cut off must not be taken for a whole one. */
-START_TEST(chunked_body)
+/* libsoup takes a truncated chunked body for complete, so all are refused. */
+START_TEST(chunked_body_is_refused)
 {
 	GString *bytes = g_string_new("PUT /v1/jobs/x HTTP/1.1\r\nHost: h\r\n"
 				      "Connection: close\r\n"
@@ -554,7 +554,7 @@
 }
 END_TEST
 
-/* What is no HTTP must not disturb the listener. */
+/* Malformed HTTP must not disturb the listener. */
 START_TEST(malformed_http)
 {
 	static const char *const inputs[] = {"GET\r\n\r\n",
@@ -572,14 +572,14 @@
 		ck_assert_msg(strstr(answer, " 200 ") == NULL, "%s", answer);
 		g_free(answer);
 	}
-	ck_assert_uint_eq(http_in_progress(world.http), 0);
+	ck_assert_uint_eq(http_in_progress(entry.http), 0);
 	expect("GET", "x", "", "400 bad_id not_run");
 	teardown();
 }
 END_TEST
 
-/* A sender that stops within its request must not hold the connection. */
-START_TEST(slow_sender)
+/* A client that stops within a request must not hold its connection open. */
+START_TEST(client_stops_in_request)
 {
 	static const char *const parts[] = {"PUT /v1/jobs/x HT",
 	    "PUT /v1/jobs/x HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n"
@@ -592,13 +592,14 @@
 	for (i = 0; i < G_N_ELEMENTS(parts); i++)
 		g_free(exchange(parts[i], strlen(parts[i])));
 	end_ms = clk_now_ms() + LIMIT_MS;
-	while (http_in_progress(world.http) > 0 && clk_now_ms() < end_ms)
+	while (http_in_progress(entry.http) > 0 && clk_now_ms() < end_ms)
 		g_main_context_iteration(NULL, FALSE);
-	ck_assert_uint_eq(http_in_progress(world.http), 0);
+	ck_assert_uint_eq(http_in_progress(entry.http), 0);
 	expect("GET", "x", "", "400 bad_id not_run");
 	teardown();
 }
 END_TEST
 
-CASES_MAIN("callers", send_case, life_of_a_job, caller_goes_away,
-    too_many_requests, chunked_body, malformed_http, slow_sender)
+CASES_MAIN("callers", send_case, submit_resubmit_and_cancel,
+    job_outlives_its_caller, too_many_requests, chunked_body_is_refused,
+    malformed_http, client_stops_in_request)
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -22,7 +22,7 @@
 	return socket;
 }
 
-/* Reads to the end of the connection; returns errno of the end, 0: orderly. */
+/* Reads until the connection ends; returns 0 for an orderly close, or errno. */
 static int
 read_to_end(GSocket *conn)
 {
@@ -43,9 +43,9 @@
 }
 
 /*
- * A start held up by a partition was carried out when that healed, by a worker
- * born anew, after its caller had given it up.  A reset drops such bytes; an
- * orderly end does not.
+ * A start delayed by a network partition was executed by a restarted worker
+ * when the partition healed, after the start had timed out.  A reset discards
+ * undelivered data; an orderly close does not.
  */
 START_TEST(timeout_resets_the_connection)
 {
--- a/tests/test_ident.c
+++ b/tests/test_ident.c
@@ -6,8 +6,8 @@
 static const uint8_t key[ID_KEY_BYTES] = {1, 2, 3};
 static const uint8_t other_key[ID_KEY_BYTES] = {1, 2, 4};
 
-/* Two callers must never get the same id, nor an id be taken for another's. */
-START_TEST(minted_ids_differ_and_check)
+/* Two callers must never get the same id; each must be recognized as issued. */
+START_TEST(issued_ids_differ_and_are_own)
 {
 	struct ident *ids = id_new(0x1122334455667788ULL, key);
 	char a[ID_LEN + 1], b[ID_LEN + 1];
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-/* A changed character anywhere must not give another valid id. */
+/* An id with any changed character must be invalid. */
 START_TEST(every_changed_character_is_refused)
 {
 	struct ident *ids = id_new(0x1122334455667788ULL, key);
@@ -52,7 +52,7 @@
 END_TEST
 
 /* An id of an earlier process must not be taken for one of this process. */
-START_TEST(other_process_and_other_key)
+START_TEST(ids_of_other_process_or_key)
 {
 	struct ident *a = id_new(1, key), *b = id_new(2, key);
 	struct ident *c = id_new(1, other_key), *late = id_new(1, key);
@@ -64,7 +64,7 @@
 	ck_assert_uint_eq(parts.incarnation, 1);
 	id_mint(c, ignored);
 	ck_assert_int_eq(id_check(c, id, &parts), ID_FORGED);
-	/* A right tag for a counter that was not minted yet. */
+	/* The tag is right, but late has not issued this counter yet. */
 	ck_assert_int_eq(id_check(late, id, &parts), ID_FORGED);
 	id_free(a);
 	id_free(b);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-/* A lowered mark would let an id whose record was dropped start again. */
+/* With a lowered mark, an id whose record was dropped could run twice. */
 START_TEST(low_water_only_rises)
 {
 	struct ident *ids = id_new_random();
@@ -86,6 +86,6 @@
 }
 END_TEST
 
-TEST_MAIN("ident", 0, minted_ids_differ_and_check,
-    every_changed_character_is_refused, other_process_and_other_key,
+TEST_MAIN("ident", 0, issued_ids_differ_and_are_own,
+    every_changed_character_is_refused, ids_of_other_process_or_key,
     low_water_only_rises)
--- a/tests/test_operators.c
+++ b/tests/test_operators.c
@@ -16,7 +16,7 @@
 static struct ops *ops;
 static const char *url, *text_path;
 
-/* One finished run of spctl. */
+/* A run of spctl and its output. */
 struct run {
 	bool done;
 	int status;
@@ -81,7 +81,7 @@
 	run->done = true;
 }
 
-/* Runs spctl with a line of arguments while the entry serves. */
+/* Runs spctl with a line of arguments; the entry's main loop keeps running. */
 static struct run
 spctl(const char *fmt, ...)
 {
@@ -122,8 +122,8 @@
 	g_free(run.err);
 }
 
-/* A change must exit with 0 only when it is in force everywhere. */
-START_TEST(changes_wait_until_in_force)
+/* spctl must exit with 0 only when its change is in force everywhere. */
+START_TEST(success_only_in_force)
 {
 	setup();
 	expect(spctl("--entry %s status", url), 0, "no configuration", "");
@@ -144,8 +144,8 @@
 }
 END_TEST
 
-/* Every refusal must be typed and change nothing. */
-START_TEST(refusals)
+/* Every refusal must name its error code and change nothing. */
+START_TEST(refused_commands_change_nothing)
 {
 	setup();
 	expect(spctl("out service club-desk --entry %s", url), 1, "",
@@ -174,7 +174,7 @@
 END_TEST
 
 /* A dead entry must not stop an operator, and an outage of the store must be
- * told from a refusal of the change. */
+ * reported with another error than a refused change. */
 START_TEST(failover_and_outage)
 {
 	setup();
@@ -197,5 +197,5 @@
 }
 END_TEST
 
-TEST_MAIN(
-    "operators", 0, changes_wait_until_in_force, refusals, failover_and_outage)
+TEST_MAIN("operators", 0, success_only_in_force,
+    refused_commands_change_nothing, failover_and_outage)
--- a/tests/test_outcome.c
+++ b/tests/test_outcome.c
@@ -98,9 +98,9 @@
 }
 
 /*
- * Guards against a second start of a seq under any interleaving: random
- * deliveries, duplicates, lost connections, acknowledgements and seals.  A
- * seq that was reported as not started or unseen must not have run.
+ * Random interleavings of deliveries, duplicates, lost connections,
+ * acknowledgements and seals must not let a seq start twice, nor start if it
+ * was reported as not started or unseen.
  */
 START_TEST(random_interleavings)
 {
@@ -111,7 +111,7 @@
 
 	for (round = 0; round < ROUNDS; round++) {
 		char accepted[SEQS + 1] = {0}, denied[SEQS + 1] = {0};
-		char settled[SEQS + 1] = {0};
+		char reported[SEQS + 1] = {0};
 		struct out *out = out_new(&opts);
 		struct wire_results_args args;
 		uint64_t next = 1, seq, highest = 0;
@@ -122,7 +122,7 @@
 			seq =
 			    (uint64_t)g_rand_int_range(rand, 1, (int)next + 1);
 			switch (g_rand_int_range(rand, 0, 8)) {
-			case 0: /* a new start, or a late copy of any */
+			case 0: /* a new start, or a late duplicate of any */
 				if (next < SEQS)
 					next++;
 				/* FALLTHROUGH */
@@ -146,10 +146,10 @@
 
 					if (r->outcome == WIRE_NOT_STARTED) {
 						ck_assert(!accepted[r->seq] ||
-							  settled[r->seq]);
+							  reported[r->seq]);
 						denied[r->seq] = 1;
 					}
-					settled[r->seq] = 1;
+					reported[r->seq] = 1;
 				}
 				highest = args.first_result +
 					  args.results.results_len - 1;
@@ -162,7 +162,7 @@
 				out_close(out, 1, i);
 				out_open(out, 1);
 				break;
-			case 6: /* another incarnation pushes this one out */
+			case 6: /* another incarnation displaces this one */
 				if (g_rand_int_range(rand, 0, 10) > 0)
 					break;
 				out_close(out, 1, i);
@@ -174,7 +174,7 @@
 				out_seal(out, 1, next);
 				if (out_state(out, 1, seq) != WIRE_STATE_UNSEEN)
 					break;
-				ck_assert(!accepted[seq] || settled[seq]);
+				ck_assert(!accepted[seq] || reported[seq]);
 				denied[seq] = 1;
 			}
 		}
@@ -184,5 +184,5 @@
 }
 END_TEST
 
-/* A trace fails when a start could happen twice or a result is lost. */
+/* A case fails if a start could run twice or a result is lost. */
 REPLAY_MAIN("outcome", 0, start, end, step, random_interleavings)
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,8 +1,8 @@
 /*
- * The programs of the platform as real processes: two entries, three agents
- * with workers, the store.  Each row brings a fault about while jobs run;
- * callers send a job again as the platform's do.  No worker may get more than
- * its capacity, no task may run twice at once, and every job must complete.
+ * Runs the platform's programs as real processes: two entries, three agents
+ * with workers, a store.  Each row injects a fault while jobs run; callers
+ * resubmit jobs as the platform's do.  No worker may be given more than its
+ * capacity, no task may run twice at once, and every job must complete.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 #define N_JOBS	  24
 #define RESEND_MS 1300
 #define MAX_TRIES 6
-/* Tasks that would still run when their job is sent again. */
+/* Their tasks are long enough to still run when the job is resubmitted. */
 #define N_LONG_JOBS 4
 #define LONG_MS	    2200
 #define SHORT_MS    250
@@ -23,7 +23,7 @@
 	struct hn_http *http;
 	char id[17];
 	int tries;
-	int64_t resend_at_ms; /* 0: waits for an answer, or has ended */
+	int64_t resend_at_ms; /* 0: waits for an answer, or completed */
 	bool completed;
 };
 
@@ -46,7 +46,7 @@
 		index < N_LONG_JOBS ? LONG_MS : SHORT_MS));
 }
 
-/* A caller sends a job again unless it was answered with 200. */
+/* Resubmits a job unless it was answered with 200 and completed. */
 static bool
 step_job(struct dpl *dpl, struct job *job, int index)
 {
@@ -114,9 +114,9 @@
 	dpl_control(dpl, "GET", "mode?crash=1", NULL);
 }
 
-/* Its tasks must go elsewhere though it never comes back. */
+/* The worker never recovers, so its tasks must run on other workers. */
 static void
-silent_worker(struct dpl *dpl)
+unresponsive_worker(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?mute=1", NULL);
 }
@@ -219,11 +219,11 @@
 } rows[] = {
     {"no fault", no_fault},
     {"orders carried out late", late_orders},
-    {"worker fails everything", failing_worker},
-    {"worker stands still", stalled_worker},
+    {"worker fails every task", failing_worker},
+    {"worker stalled", stalled_worker},
     {"worker crashed", crashed_worker},
     {"worker drains", draining_worker},
-    {"worker goes silent", silent_worker},
+    {"worker unresponsive", unresponsive_worker},
     {"entry killed", entry_killed},
     {"entry paused", entry_paused},
     {"entry terminated", entry_terminated},
@@ -251,7 +251,7 @@
 	hn_sleep(150);
 	rows[_i].fault(&dpl);
 	ck_assert_msg(hn_wait_until(step_jobs(&dpl, jobs), 2 * HN_LIMIT_MS),
-	    "%s: jobs without an end", rows[_i].name);
+	    "%s: not all jobs completed", rows[_i].name);
 	counts = dpl_control(&dpl, "GET", "counts", NULL);
 	ck_assert_msg(hn_json_int(counts, "limit") == 0 &&
 			  hn_json_int(counts, "twice") == 0 &&
@@ -261,8 +261,8 @@
 }
 END_TEST
 
-/* A task must not start in a domain that is out, once an entry knows. */
-START_TEST(domain_out)
+/* An entry that has read that a domain is out must start no task there. */
+START_TEST(no_start_in_evacuated_domain)
 {
 	struct dpl dpl;
 	struct hn_http *http;
@@ -283,7 +283,7 @@
 }
 END_TEST
 
-/* An idle agent must not lose its entries, which would end its runs. */
+/* An idle agent must keep its sessions: losing one would stop its tasks. */
 START_TEST(idle_sessions_last)
 {
 	struct dpl dpl;
@@ -300,7 +300,7 @@
 }
 END_TEST
 
-/* A queue that was removed answers 404, one that was added is served. */
+/* A removed queue must answer 404, and an added one must be served. */
 START_TEST(queue_replaced)
 {
 	struct dpl dpl;
@@ -314,7 +314,7 @@
 	    HN_LIMIT_MS));
 	ck_assert_int_eq(
 	    hn_http("GET", dpl_url(&dpl, 0, "/other/"), NULL)->status, 200);
-	/* An older version is not taken back. */
+	/* An older configuration version must be ignored. */
 	dpl_configure(&dpl, 4, "/q/");
 	hn_sleep(300);
 	ck_assert_int_eq(
@@ -334,9 +334,9 @@
 }
 
 /*
- * An entry that ended a fixed time after SIGTERM cut off what it had accepted
- * shortly before.  Callers go on using open connections, so a job that comes
- * in the first half of the shutdown is served too.
+ * An entry that exited a fixed time after SIGTERM dropped jobs that it had
+ * accepted shortly before.  Callers keep using open connections, so a job that
+ * arrives in the first half of the shutdown must be served too.
  */
 START_TEST(shutdown_answers_all)
 {
@@ -357,8 +357,8 @@
 END_TEST
 
 /*
- * A restarted agent that waits for the worker's next heartbeat leaves the
- * worker idle; it asks the worker that its key in the store names.
+ * A restarted agent that only waited for the worker's next heartbeat would
+ * leave the worker idle; it must contact the worker named by its store key.
  */
 START_TEST(worker_recalled)
 {
@@ -377,8 +377,8 @@
 }
 END_TEST
 
-/* What is malformed or not served is refused with a reason. */
-START_TEST(refused)
+/* Malformed jobs must get 400 and unsupported ones 503; unknown queues 404. */
+START_TEST(invalid_jobs_refused)
 {
 	static const struct {
 		const char *body;
@@ -421,8 +421,9 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {domain_out, idle_sessions_last,
-	    queue_replaced, shutdown_answers_all, worker_recalled, refused};
+	const TTest *const tests[] = {no_start_in_evacuated_domain,
+	    idle_sessions_last, queue_replaced, shutdown_answers_all,
+	    worker_recalled, invalid_jobs_refused};
 	int red = run_table("platform", fault_while_jobs_run,
 	    sizeof(rows) / sizeof(rows[0]), 2 * HN_LIMIT_MS / 1000.0 + 30);
 
