--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -234,9 +234,8 @@
 }
 
 /*
- * Refuses a request without reading its body.  A job with the same id may have
- * been submitted earlier, here or at the entry that owns it; then "ran" is
- * "unknown".
+ * Refuses a request by its headers.  "ran" is "unknown" if a job with the same
+ * id may have been submitted earlier, here or at the entry that owns it.
  */
 static void
 refuse_headers(struct http *http, SoupServerMessage *msg, const char *path,
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -183,7 +183,7 @@
 }
 
 /*
- * If the incarnation connects again in spite of it, starts whose records were
+ * If the incarnation connects again after all, starts whose records were
  * dropped are reported as unknown, never as unseen.
  */
 void
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -18,7 +18,7 @@
 struct out_options {
 	uint32_t max_records; /* accepted and not acknowledged, per entry */
 	uint64_t max_bytes;   /* unacknowledged results, per entry */
-	uint32_t max_entries; /* incarnations; above, closed ones are dropped */
+	uint32_t max_entries; /* above it, disconnected ones are dropped */
 };
 
 enum out_verdict {
--- a/tests/test_ident.c
+++ b/tests/test_ident.c
@@ -64,7 +64,7 @@
 	ck_assert_uint_eq(parts.incarnation, 1);
 	id_mint(c, ignored);
 	ck_assert_int_eq(id_check(c, id, &parts), ID_FORGED);
-	/* The tag is right, but late has not issued this counter yet. */
+	/* The tag is right, but this issuer has not used the counter yet. */
 	ck_assert_int_eq(id_check(late, id, &parts), ID_FORGED);
 	id_free(a);
 	id_free(b);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -14,7 +14,7 @@
 #define N_JOBS	  24
 #define RESEND_MS 1300
 #define MAX_TRIES 6
-/* Their tasks are long enough to still run when the job is resubmitted. */
+/* Tasks of the first jobs still run when their job is resubmitted. */
 #define N_LONG_JOBS 4
 #define LONG_MS	    2200
 #define SHORT_MS    250
