--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -17,9 +17,9 @@
 struct admit;
 
 /* State of the entry on which an admission decision is based. */
-struct adm_facts {
+struct adm_snapshot {
 	const struct cfg *cfg;
-	bool current; /* fresh_is_current() */
+	bool config_confirmed; /* fresh_is_current() */
 	uint32_t live_entries;
 	uint32_t waiting;	  /* tasks of the service in the queue */
 	bool service_live;	  /* it has a live endpoint */
@@ -43,10 +43,11 @@
 struct admit *adm_new(void);
 void adm_free(struct admit *adm);
 /* Returns REF_NONE if the work is admitted; otherwise sets *why. */
-enum ref_code adm_check(const struct admit *adm, const struct adm_facts *facts,
-    const struct adm_request *request, struct status *why);
+enum ref_code adm_check(const struct admit *adm,
+    const struct adm_snapshot *snapshot, const struct adm_request *request,
+    struct status *why);
 /* Adds the tasks of an admitted job to the counts of tasks in flight. */
-void adm_take(
+void adm_acquire(
     struct admit *adm, const char *service, const char *team, uint32_t n);
 /* Removes the tasks of a finished job from these counts. */
 void adm_release(
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -71,7 +71,7 @@
 
 /* Returns {"ids":[...]}. */
 char *
-api_mint(struct api *api, uint32_t count)
+api_mint_ids(struct api *api, uint32_t count)
 {
 	GString *out = g_string_new("{\"ids\":[");
 	char id[ID_LEN + 1];
@@ -173,7 +173,7 @@
 api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why)
 {
-	struct adm_facts facts;
+	struct adm_snapshot snapshot;
 	enum ref_code code;
 	int64_t now_ms = clk_now_ms();
 	enum job_put put;
@@ -183,8 +183,8 @@
 		st_set(why, ST_UNAVAILABLE, "this entry is shutting down");
 		return REF_SHUTTING_DOWN;
 	}
-	api->opts.facts(request->service, &facts, api->opts.ctx);
-	code = adm_check(api->opts.admit, &facts, request, why);
+	api->opts.snapshot(request->service, &snapshot, api->opts.ctx);
+	code = adm_check(api->opts.admit, &snapshot, request, why);
 	if (code != REF_NONE)
 		return code;
 	spec->deadline_ms += now_ms;
@@ -198,8 +198,8 @@
 		return REF_TOO_MANY_JOBS;
 	}
 	job_ref(*job);
-	adm_take(api->opts.admit, spec->service, spec->team, spec->n_tasks);
-	rty_request(api->opts.retry);
+	adm_acquire(api->opts.admit, spec->service, spec->team, spec->n_tasks);
+	rty_count_request(api->opts.retry);
 	(*api->submitted)++;
 	*api->tasks_in_flight += spec->n_tasks;
 	dsp_submit(api->opts.dispatch, *job);
@@ -208,7 +208,7 @@
 
 /* Releases the tasks of a job from the quotas and counts its result. */
 void
-api_ended(struct api *api, struct job *job)
+api_job_ended(struct api *api, struct job *job)
 {
 	adm_release(
 	    api->opts.admit, job_service(job), job_team(job), job_n_tasks(job));
@@ -221,7 +221,7 @@
 
 static struct api_call *
 submit_form(struct api_call *call, const struct api_request *request,
-    const struct jobform *form, const struct job_spec *identity)
+    const struct jf_submission *form, const struct job_spec *identity)
 {
 	char traceparent[TRC_PARENT_LEN + 1];
 	struct adm_request admission = {
@@ -237,7 +237,7 @@
 	enum ref_code code;
 	struct job *job;
 
-	trc_format(&call->span, traceparent);
+	trc_format_traceparent(&call->span, traceparent);
 	spec.traceparent = traceparent;
 	spec.service = form->service;
 	spec.team = form->team;
@@ -271,7 +271,7 @@
 {
 	struct api *api = call->api;
 	struct job_spec spec = {.id = request->id, .counter = counter};
-	struct jobform *form;
+	struct jf_submission *form;
 	struct status why;
 	enum ref_code code;
 
@@ -384,7 +384,7 @@
 		struct api_request copy = *request;
 		char traceparent[TRC_PARENT_LEN + 1];
 
-		trc_format(&call->span, traceparent);
+		trc_format_traceparent(&call->span, traceparent);
 		copy.traceparent = traceparent;
 		if (api->opts.forward(incarnation, &copy, on_forwarded, call,
 			api->opts.ctx)) {
--- a/src/request/api.h
+++ b/src/request/api.h
@@ -54,7 +54,8 @@
 	struct trc_ring *traces;
 	struct jf_limits limits;
 	/* Fills in the state for an admission decision about a service. */
-	void (*facts)(const char *service, struct adm_facts *facts, void *ctx);
+	void (*snapshot)(
+	    const char *service, struct adm_snapshot *snapshot, void *ctx);
 	enum api_owner (*owner)(uint64_t incarnation, void *ctx);
 	/* Returns false and never runs fn if the request was not sent. */
 	bool (*forward)(uint64_t incarnation, const struct api_request *request,
@@ -77,7 +78,7 @@
 /* The caller disconnected: fn will not run, but the job goes on. */
 void api_cancel(struct api_call *call);
 /* Returns new submission ids as JSON, to be freed with g_free(). */
-char *api_mint(struct api *api, uint32_t count);
+char *api_mint_ids(struct api *api, uint32_t count);
 
 /*
  * Admits and queues a job.  spec->deadline_ms is the remaining time and is
@@ -87,6 +88,6 @@
 enum ref_code api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why);
 /* The dispatcher calls this once when a submitted job has ended. */
-void api_ended(struct api *api, struct job *job);
+void api_job_ended(struct api *api, struct job *job);
 
 #endif
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -151,7 +151,7 @@
 
 /* Every unacknowledged result will be sent again on the new connection. */
 void
-out_open(struct out *out, uint64_t entry)
+out_connected(struct out *out, uint64_t entry)
 {
 	struct entry *e = find_entry(out, entry);
 
@@ -172,7 +172,7 @@
 
 /* Keeps the records, since the entry may connect again. */
 void
-out_close(struct out *out, uint64_t entry, int64_t now_ms)
+out_disconnected(struct out *out, uint64_t entry, int64_t now_ms)
 {
 	struct entry *e = find_entry(out, entry);
 
@@ -187,7 +187,7 @@
  * dropped are reported as unknown, never as unseen.
  */
 void
-out_gone(struct out *out, uint64_t entry)
+out_forget(struct out *out, uint64_t entry)
 {
 	struct entry *e = find_entry(out, entry);
 
@@ -420,7 +420,7 @@
 }
 
 size_t
-out_records(const struct out *out, uint64_t entry)
+out_record_count(const struct out *out, uint64_t entry)
 {
 	struct entry *e = find_entry(out, entry);
 
@@ -437,7 +437,7 @@
 
 /* Runs fn, which must not change records, for each incarnation with some. */
 void
-out_each(const struct out *out, out_entry_fn fn, void *ctx)
+out_foreach(const struct out *out, out_entry_fn fn, void *ctx)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -32,13 +32,13 @@
 void out_free(struct out *out);
 
 /* A connection to this entry incarnation was opened or closed. */
-void out_open(struct out *out, uint64_t entry);
-void out_close(struct out *out, uint64_t entry, int64_t now_ms);
+void out_connected(struct out *out, uint64_t entry);
+void out_disconnected(struct out *out, uint64_t entry, int64_t now_ms);
 /*
  * Drops the records of an incarnation that has exited; its queued starts must
  * not run any more.
  */
-void out_gone(struct out *out, uint64_t entry);
+void out_forget(struct out *out, uint64_t entry);
 
 enum out_verdict out_start(struct out *out, uint64_t entry, uint64_t seq);
 /* The call to the endpoint begins. */
@@ -64,11 +64,11 @@
     struct wire_results_args *args);
 
 /* Returns the number of unfinished starts and unacknowledged results. */
-size_t out_records(const struct out *out, uint64_t entry);
+size_t out_record_count(const struct out *out, uint64_t entry);
 /* Returns the size of the unacknowledged results. */
 uint64_t out_bytes(const struct out *out, uint64_t entry);
 /* closed_ms is -1 while a connection is open. */
 typedef void (*out_entry_fn)(uint64_t entry, int64_t closed_ms, void *ctx);
-void out_each(const struct out *out, out_entry_fn fn, void *ctx);
+void out_foreach(const struct out *out, out_entry_fn fn, void *ctx);
 
 #endif
--- a/src/request/passing.c
+++ b/src/request/passing.c
@@ -331,7 +331,7 @@
 	trc_start(&span,
 	    soup_message_headers_get_one(
 		soup_server_message_get_request_headers(msg), "traceparent"));
-	trc_format(&span, traceparent);
+	trc_format_traceparent(&span, traceparent);
 	code = api_submit(pass->opts.api, &spec, &admission, &job, &why);
 	if (code != REF_NONE)
 		hr_refuse(msg, code, why.message);
