--- a/tests/test_outcome.c
+++ b/tests/test_outcome.c
@@ -61,7 +61,7 @@
 }
 
 static void
-step(void *ctx, char **words, GString *actual)
+step(void *ctx, char **words, GString *to)
 {
 	struct out *out = ctx;
 	uint64_t entry = strtoull(words[1], NULL, 10);
@@ -75,7 +75,7 @@
 	else if (strcmp(command, "gone") == 0)
 		out_forget(out, entry);
 	else if (strcmp(command, "start") == 0)
-		g_string_append(actual, verdicts[out_start(out, entry, n)]);
+		g_string_append(to, verdicts[out_start(out, entry, n)]);
 	else if (strcmp(command, "running") == 0)
 		out_running(out, entry, n);
 	else if (strcmp(command, "done") == 0)
@@ -88,12 +88,11 @@
 	else if (strcmp(command, "seal") == 0)
 		out_seal(out, entry, n);
 	else if (strcmp(command, "state") == 0)
-		g_string_append(actual, states[out_state(out, entry, n)]);
+		g_string_append(to, states[out_state(out, entry, n)]);
 	else if (strcmp(command, "batch") == 0)
-		batch(out, entry, n == 0 ? MAX_BYTES : n, actual);
+		batch(out, entry, n == 0 ? MAX_BYTES : n, to);
 	else if (strcmp(command, "records") == 0)
-		g_string_append_printf(
-		    actual, "%zu", out_record_count(out, entry));
+		g_string_append_printf(to, "%zu", out_record_count(out, entry));
 	else
 		ck_abort_msg("command %s", command);
 }
