--- a/src/request/api.c
+++ b/src/request/api.c
@@ -219,6 +219,7 @@
 		(*api->failed)++;
 }
 
+/* identity has the id of the job, its counter and the digest of the body. */
 static struct api_call *
 submit_form(struct api_call *call, const struct api_request *request,
     const struct jf_submission *form, const struct job_spec *identity)
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -26,6 +26,7 @@
 	bool done;
 };
 
+/* The last row stands for every code that is not listed. */
 static const struct {
 	enum st_code code;
 	unsigned http;
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -435,7 +435,7 @@
 	return e == NULL ? 0 : e->bytes;
 }
 
-/* Runs fn, which must not change records, for each incarnation with some. */
+/* Runs fn for each incarnation that has records; fn must not change any. */
 void
 out_foreach(const struct out *out, out_entry_fn fn, void *ctx)
 {
