--- a/src/connection/address.c
+++ b/src/connection/address.c
@@ -1,6 +1,5 @@
 #include "connection/address.h"
 
-/* Parses a numeric address with a port. */
 GSocketAddress *
 addr_parse(const char *text, struct status *st)
 {
--- a/src/connection/address.h
+++ b/src/connection/address.h
@@ -6,8 +6,8 @@
 #include "process/status.h"
 
 /*
- * Parses "ip:port" or "[ip]:port"; port 0 stays 0.  NULL, with the reason in
- * st, when it is anything else; the caller unrefs the address.
+ * Parses "ip:port" or "[ip]:port"; the port may be 0.  Returns NULL, with the
+ * reason in st, for any other text.  The caller unrefs the address.
  */
 GSocketAddress *addr_parse(const char *text, struct status *st);
 
--- a/src/connection/agentlink.c
+++ b/src/connection/agentlink.c
@@ -12,16 +12,16 @@
 	char *service; /* empty: no endpoint */
 	uint64_t incarnation;
 	struct rpc_conn *conn; /* NULL while disconnected */
-	int64_t lost_ms;
-	uint64_t acked_result; /* all results up to it were received */
-	bool counting;	       /* acked_result is set */
-	uint64_t seen_seq;     /* the agent has received up to it */
-	GHashTable *open;      /* &seq -> struct open_start */
-	GArray *asked;	       /* seqs of the QUERY in progress */
+	int64_t lost_ms;       /* time of the last disconnection */
+	uint64_t acked_result; /* all results up to this were received */
+	bool acked_result_known;
+	uint64_t seen_seq;    /* highest start seq that the agent received */
+	GHashTable *open;     /* &seq -> struct open_start */
+	GArray *queried_seqs; /* of the QUERY in progress */
 };
 
 struct open_start {
-	int64_t resent_by_ms; /* 0: its result is not due */
+	int64_t result_due_ms; /* the agent resends it by then; 0: no limit */
 	bool withdrawn;
 };
 
@@ -32,7 +32,7 @@
 	int64_t *refused;
 	int64_t *heartbeats;
 	int64_t *results_messages;
-	int64_t *late;
+	int64_t *late_results;
 };
 
 static void
@@ -45,7 +45,7 @@
 		rpc_unref(al->conn);
 	}
 	g_hash_table_unref(al->open);
-	g_array_unref(al->asked);
+	g_array_unref(al->queried_seqs);
 	g_free(al->key);
 	g_free(al->worker);
 	g_free(al->failure_domain);
@@ -53,7 +53,6 @@
 	g_free(al);
 }
 
-/* Makes an empty set. */
 struct al_set *
 al_set_new(const struct al_options *opts)
 {
@@ -71,12 +70,11 @@
 	    reg, "sp_heartbeats_total", "heartbeats received from agents");
 	set->results_messages = ctr_counter(
 	    reg, "sp_results_messages_total", "RESULTS messages received");
-	set->late = ctr_counter(reg, "sp_results_late_total",
+	set->late_results = ctr_counter(reg, "sp_results_late_total",
 	    "results without an open start, dropped");
 	return set;
 }
 
-/* Closes and frees everything. */
 void
 al_set_free(struct al_set *set)
 {
@@ -84,14 +82,12 @@
 	g_free(set);
 }
 
-/* Returns the number of agents with a connection. */
 uint32_t
 al_connected(const struct al_set *set)
 {
 	return (uint32_t)*set->connected;
 }
 
-/* Returns "<failure domain>/<worker>", owned by the agent. */
 const char *
 al_name(const struct al *al)
 {
@@ -126,7 +122,7 @@
 }
 
 static void
-all_unknown(struct al *al)
+end_all_unknown(struct al *al)
 {
 	GArray *seqs = open_seqs(al);
 	guint i;
@@ -168,18 +164,19 @@
 
 static void
 reply_hello(struct al_set *set, struct rpc_conn *conn, uint32_t xid,
-    const wire_hello_args *args, const char *refusal)
+    const wire_hello_args *args, const char *refusal_reason)
 {
 	wire_hello_result result;
 	uint64_t digest;
 	size_t n = 0;
 
 	memset(&result, 0, sizeof(result));
-	result.accepted = refusal == NULL;
-	result.reason = (char *)(refusal != NULL ? refusal : "");
-	fill_member(refusal == NULL ? set->opts.self : NULL, &result.entry);
+	result.accepted = refusal_reason == NULL;
+	result.reason = (char *)(refusal_reason != NULL ? refusal_reason : "");
+	fill_member(
+	    refusal_reason == NULL ? set->opts.self : NULL, &result.entry);
 	result.echo_ns = args->sent_ns;
-	if (refusal == NULL) {
+	if (refusal_reason == NULL) {
 		fill_config(set, args->config_version, &result.config);
 		result.members.members_val = (wire_member *)set->opts.members(
 		    &n, &digest, set->opts.ctx);
@@ -217,9 +214,9 @@
 	al->set->opts.load(al, &out, count_unseen(al), al->set->opts.ctx);
 }
 
-/* Takes what the agent says about its endpoint. */
+/* Applies the description of the endpoint in a HELLO or heartbeat. */
 static void
-note_endpoint(struct al *al, const char *service, uint32_t slots,
+update_endpoint(struct al *al, const char *service, uint32_t slots,
     uint32_t cores, uint64_t memory_mb)
 {
 	struct place_worker worker = {
@@ -254,7 +251,8 @@
 		goto out;
 	}
 	(*set->heartbeats)++;
-	note_endpoint(al, args.service, args.slots, args.cores, args.memory_mb);
+	update_endpoint(
+	    al, args.service, args.slots, args.cores, args.memory_mb);
 	report_load(al, &args.load);
 	memset(&result, 0, sizeof(result));
 	result.echo_ns = args.sent_ns;
@@ -275,7 +273,7 @@
 take_result(struct al *al, const wire_result *result)
 {
 	if (!g_hash_table_remove(al->open, &result->seq)) {
-		(*al->set->late)++;
+		(*al->set->late_results)++;
 		return;
 	}
 	al->set->opts.outcome(al, result, al->set->opts.ctx);
@@ -296,13 +294,13 @@
 	(*al->set->results_messages)++;
 	last = args.first_result + args.results.results_len;
 	/*
-	 * Only a gapless run is acknowledged: the agent drops what is
-	 * acknowledged, and could not answer a QUERY about a missing one.
+	 * Results are acknowledged only up to the first gap, since the agent
+	 * discards acknowledged ones and could not send a missing one again.
 	 */
-	if (!al->counting && args.first_result > 0) {
-		/* Earlier results have no open start here. */
+	if (!al->acked_result_known && args.first_result > 0) {
+		/* No start is open whose result has a lower number. */
 		al->acked_result = args.first_result - 1;
-		al->counting = true;
+		al->acked_result_known = true;
 	}
 	if (args.results.results_len > 0 &&
 	    args.first_result <= al->acked_result + 1)
@@ -365,13 +363,14 @@
 	if (state == WIRE_STATE_UNSEEN)
 		end_start(al, seq, WIRE_NOT_STARTED, WIRE_REASON_SEALED);
 	else if (state == WIRE_STATE_DONE)
-		start->resent_by_ms = clk_now_ms() + al->set->opts.resolve_ms;
+		start->result_due_ms = clk_now_ms() + al->set->opts.resolve_ms;
 	else if (state == WIRE_STATE_QUEUED && start->withdrawn)
-		al_withdraw(al, &seq, 1); /* the first one may be lost */
+		al_withdraw(al, &seq, 1); /* the first message may be lost */
 }
 
 static void
-on_queried(struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
+on_query_reply(
+    struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
 {
 	struct al *al = ctx;
 	wire_query_result result;
@@ -383,32 +382,36 @@
 	}
 	memset(&result, 0, sizeof(result));
 	if (!xdr_wire_query_result(xdrs, &result) ||
-	    result.states.states_len != al->asked->len) {
+	    result.states.states_len != al->queried_seqs->len) {
 		rpc_close(conn, ST_INVALID, "malformed answer to QUERY");
 	} else {
 		for (i = 0; i < result.states.states_len; i++)
-			apply_state(al, g_array_index(al->asked, uint64_t, i),
+			apply_state(al,
+			    g_array_index(al->queried_seqs, uint64_t, i),
 			    result.states.states_val[i]);
 	}
 	xdr_free((xdrproc_t)xdr_wire_query_result, &result);
 }
 
-/* Seals lost starts and asks for the state of the open ones. */
+/*
+ * Asks for the state of the open starts.  The agent seals those that it has not
+ * received, so that they can be reported as not started.
+ */
 static void
 send_query(struct al *al)
 {
 	struct al_set *set = al->set;
 	wire_query_args args;
 
-	g_array_unref(al->asked);
-	al->asked = open_seqs(al);
+	g_array_unref(al->queried_seqs);
+	al->queried_seqs = open_seqs(al);
 	memset(&args, 0, sizeof(args));
 	args.next_seq = set->opts.next_seq(set->opts.ctx);
 	args.acked_result = al->acked_result;
-	args.seqs.seqs_val = (uint64_t *)(void *)al->asked->data;
-	args.seqs.seqs_len = al->asked->len;
+	args.seqs.seqs_val = (uint64_t *)(void *)al->queried_seqs->data;
+	args.seqs.seqs_len = al->queried_seqs->len;
 	if (!rpc_request(al->conn, WIRE_QUERY, (xdrproc_t)xdr_wire_query_args,
-		&args, set->opts.silence_ms, on_queried, al))
+		&args, set->opts.silence_ms, on_query_reply, al))
 		rpc_close(al->conn, ST_INTERNAL, "QUERY was not sent");
 }
 
@@ -439,15 +442,15 @@
 	al->incarnation = args->incarnation;
 	al->open =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	al->asked = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	al->queried_seqs = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_hash_table_insert(set->agents, al->key, al);
 	return al;
 }
 
 static const char *
-refusal(const struct al_set *set, const wire_hello_args *args)
+refusal_reason(const struct al_set *set, const wire_hello_args *args)
 {
-	/* Compared by digest, so that the time tells nothing about the key. */
+	/* Digests are compared so that the timing does not reveal the key. */
 	char *want = g_compute_checksum_for_string(
 	    G_CHECKSUM_SHA256, set->opts.cluster_key, -1);
 	char *got =
@@ -461,7 +464,7 @@
 	if (args->worker[0] == '\0' || args->failure_domain[0] == '\0' ||
 	    args->incarnation == 0)
 		return "worker, failure domain or incarnation is missing";
-	/* One that is known must come back, or its starts become unknown. */
+	/* A known agent may return: it has the results of its open starts. */
 	if (g_hash_table_size(set->agents) >= set->opts.max_agents &&
 	    find_agent(set, args) == NULL)
 		return "too many agents";
@@ -469,21 +472,21 @@
 }
 
 static void
-welcome(struct al_set *set, struct rpc_conn *conn, uint32_t xid,
+accept_agent(struct al_set *set, struct rpc_conn *conn, uint32_t xid,
     const wire_hello_args *args)
 {
 	struct al *al = get_agent(set, args);
-	bool known = al->lost_ms != 0 || al->conn != NULL;
+	bool reconnected = al->lost_ms != 0 || al->conn != NULL;
 
 	drop_conn(al);
 	if (al->incarnation != args->incarnation) {
-		/* The new process does not know what the old one started. */
-		all_unknown(al);
+		/* A new agent process can't tell what the old one started. */
+		end_all_unknown(al);
 		al->incarnation = args->incarnation;
 		al->acked_result = 0;
-		al->counting = false;
+		al->acked_result_known = false;
 		al->seen_seq = 0;
-		known = false;
+		reconnected = false;
 	}
 	al->conn = rpc_ref(conn);
 	(*set->connected)++;
@@ -491,14 +494,13 @@
 	log_line(LOG_INFO, "agent %s connected, service \"%s\", %u slots",
 	    al->key, args->service, args->slots);
 	reply_hello(set, conn, xid, args, NULL);
-	if (known)
+	if (reconnected)
 		send_query(al);
-	note_endpoint(
+	update_endpoint(
 	    al, args->service, args->slots, args->cores, args->memory_mb);
 	report_load(al, &args->load);
 }
 
-/* Checks a HELLO and connects its agent. */
 void
 al_accept(
     struct al_set *set, struct rpc_conn *conn, const struct rpc_call *hello)
@@ -510,20 +512,20 @@
 	if (hello->proc != WIRE_HELLO ||
 	    !xdr_wire_hello_args(hello->args, &args)) {
 		rpc_close(conn, ST_INVALID, "first call is not a valid HELLO");
-	} else if ((why = refusal(set, &args)) != NULL) {
+	} else if ((why = refusal_reason(set, &args)) != NULL) {
 		(*set->refused)++;
 		log_line(
 		    LOG_WARNING, "agent \"%s\" refused: %s", args.worker, why);
 		reply_hello(set, conn, hello->xid, &args, why);
 		rpc_close(conn, ST_INVALID, why);
 	} else {
-		welcome(set, conn, hello->xid, &args);
+		accept_agent(set, conn, hello->xid, &args);
 	}
 	xdr_free((xdrproc_t)xdr_wire_hello_args, &args);
 }
 
 static void
-end_overdue(struct al *al, int64_t now_ms)
+end_overdue_starts(struct al *al, int64_t now_ms)
 {
 	GArray *seqs = open_seqs(al);
 	struct open_start *start;
@@ -533,16 +535,17 @@
 	for (i = 0; i < seqs->len; i++) {
 		seq = g_array_index(seqs, uint64_t, i);
 		start = g_hash_table_lookup(al->open, &seq);
-		if (start != NULL && start->resent_by_ms != 0 &&
-		    start->resent_by_ms <= now_ms)
+		if (start != NULL && start->result_due_ms != 0 &&
+		    start->result_due_ms <= now_ms)
 			end_start(al, seq, WIRE_UNKNOWN, WIRE_REASON_BROKEN);
 	}
 	g_array_unref(seqs);
 }
 
 /*
- * Gives up on agents that stay away: first on their open starts, which become
- * unknown and are never taken for not started, later on the agents.
+ * Ends the open starts of agents that stay disconnected, and later removes the
+ * agents.  The outcome is UNKNOWN, not NOT_STARTED, since any of the starts may
+ * have reached the endpoint.
  */
 void
 al_tick(struct al_set *set, int64_t now_ms)
@@ -554,11 +557,11 @@
 	g_hash_table_iter_init(&iter, set->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		al = value;
-		end_overdue(al, now_ms);
+		end_overdue_starts(al, now_ms);
 		if (al->conn != NULL)
 			continue;
 		if (now_ms - al->lost_ms >= set->opts.resolve_ms)
-			all_unknown(al);
+			end_all_unknown(al);
 		if (now_ms - al->lost_ms >= set->opts.forget_ms) {
 			set->opts.gone(al, set->opts.ctx);
 			g_hash_table_iter_remove(&iter);
@@ -566,7 +569,6 @@
 	}
 }
 
-/* Sends starts in one message and keeps them open until their outcome. */
 bool
 al_start(struct al *al, const wire_start *starts, size_t n)
 {
@@ -584,7 +586,7 @@
 		al->conn, WIRE_START, (xdrproc_t)xdr_wire_start_args, &args) &&
 	    rpc_is_open(al->conn))
 		return false;
-	/* A connection that closed in between may have sent a part. */
+	/* If the connection closed in rpc_send(), a part may have been sent. */
 	for (i = 0; i < n; i++)
 		g_hash_table_insert(al->open,
 		    g_memdup2(&starts[i].seq, sizeof(starts[i].seq)),
@@ -592,10 +594,6 @@
 	return true;
 }
 
-/*
- * Asks the agent to return starts that it has not begun; asks again when the
- * connection was replaced meanwhile.
- */
 void
 al_withdraw(struct al *al, const uint64_t *seqs, size_t n)
 {
--- a/src/connection/agentlink.h
+++ b/src/connection/agentlink.h
@@ -12,48 +12,67 @@
 #include "version/fresh.h"
 
 /*
- * The entry's side of its agents.  An agent is known by its failure domain
- * and worker; it keeps its open starts while its connection is replaced.
+ * The agents that are connected to this entry.  An agent is identified by its
+ * failure domain and worker.  It keeps its open starts, those without an
+ * outcome, over a reconnection.
  */
 struct al_set;
 struct al;
 
 struct al_options {
-	const char *cluster_key; /* borrowed, as everything below */
-	const wire_member *self;
+	const char *cluster_key; /* borrowed, as are all pointers below */
+	const wire_member *self; /* this entry */
 	const struct fresh *fresh;
 	struct ctr_registry *counters;
 	uint32_t max_agents;
-	int64_t silence_ms; /* a QUERY is answered within this time */
-	int64_t resolve_ms; /* open starts of a lost agent become unknown */
-	int64_t forget_ms;  /* a lost agent is removed */
+	int64_t silence_ms; /* timeout of a QUERY */
+	/*
+	 * After this time without a connection, or without a result that the
+	 * agent said it would send, open starts get the outcome UNKNOWN.
+	 */
+	int64_t resolve_ms;
+	int64_t forget_ms; /* an agent without a connection is removed */
 	uint64_t (*next_seq)(void *ctx);
+	/* The list of entries, with a digest of it. */
 	const wire_member *(*members)(size_t *n, uint64_t *digest, void *ctx);
+	/* The agent has an endpoint; also runs at every heartbeat. */
 	void (*up)(struct al *al, const struct place_worker *worker, void *ctx);
+	/* The agent has no endpoint or no connection. */
 	void (*down)(struct al *al, void *ctx);
-	void (*gone)(struct al *al, void *ctx); /* al is freed after this */
+	/* The agent is removed; al is freed after this. */
+	void (*gone)(struct al *al, void *ctx);
+	/* unseen: open starts that the agent has not received yet. */
 	void (*load)(struct al *al, const struct place_load *load,
 	    uint32_t unseen, void *ctx);
-	/* Runs once for each start, with the outcome. */
+	/* Runs once for each start that al_start() has sent. */
 	void (*outcome)(struct al *al, const wire_result *result, void *ctx);
 	void *ctx;
 };
 
 struct al_set *al_set_new(const struct al_options *opts);
-/* Closes every connection; no callback runs. */
+/* Closes every connection without running callbacks. */
 void al_set_free(struct al_set *set);
 /*
- * Takes over a connection whose first call is a HELLO, or closes it.  Adds
- * its own reference when it keeps the connection.
+ * Takes over a connection whose first call is a valid HELLO, with its own
+ * reference; closes any other connection.
  */
 void al_accept(
     struct al_set *set, struct rpc_conn *conn, const struct rpc_call *hello);
+/* To be called periodically; applies resolve_ms and forget_ms. */
 void al_tick(struct al_set *set, int64_t now_ms);
 uint32_t al_connected(const struct al_set *set);
 
-/* False: nothing was sent and nothing is open. */
+/*
+ * Sends starts in one message.  False: none was sent, and outcome() will not
+ * run for them.
+ */
 bool al_start(struct al *al, const wire_start *starts, size_t n);
+/*
+ * Asks the agent to return starts that it has not begun.  The request is
+ * repeated if a QUERY after a reconnection still finds them queued.
+ */
 void al_withdraw(struct al *al, const uint64_t *seqs, size_t n);
+/* "<failure domain>/<worker>", owned by the agent. */
 const char *al_name(const struct al *al);
 
 #endif
--- a/src/connection/announce.c
+++ b/src/connection/announce.c
@@ -10,18 +10,18 @@
 #define SLOTS_MAX  65536
 #define BODY_MAX   65536
 /*
- * The endpoint may count a call that the agent already saw end; calls that
- * ended this recently are taken off the count of foreign work.
+ * An announcement may count calls of this agent that have ended since.  Those
+ * that ended this recently are not counted as requests of others.
  */
-#define RECENT_MS  200
-#define RECENT_MAX 256
+#define RECENT_END_MS	200
+#define RECENT_ENDS_MAX 256
 
 struct ann {
 	struct ann_state state;
 	char *service;
 	char *address;
 	int64_t expires_ms;
-	int64_t ended_ms[RECENT_MAX]; /* ring of the latest ends */
+	int64_t ended_ms[RECENT_ENDS_MAX]; /* ring buffer of call end times */
 	uint32_t ended_pos;
 };
 
@@ -58,19 +58,17 @@
     [F_DRAINING] = {"draining", json_type_boolean, 0, 0, false},
 };
 
-/* Makes an empty announcement. */
 struct ann *
 ann_new(void)
 {
 	struct ann *ann = g_new0(struct ann, 1);
 	size_t i;
 
-	for (i = 0; i < RECENT_MAX; i++)
-		ann->ended_ms[i] = -RECENT_MS - 1;
+	for (i = 0; i < RECENT_ENDS_MAX; i++)
+		ann->ended_ms[i] = -RECENT_END_MS - 1;
 	return ann;
 }
 
-/* Frees the announcement. */
 void
 ann_free(struct ann *ann)
 {
@@ -107,7 +105,7 @@
 	return true;
 }
 
-/* Sorts the members of an object into values; false on any bad key. */
+/* Stores the value of each key in values; false if any key is invalid. */
 static bool
 read_fields(
     struct json_object *root, struct json_object **values, struct status *st)
@@ -147,8 +145,8 @@
 {
 	uint32_t own = running, i;
 
-	for (i = 0; i < RECENT_MAX; i++) {
-		if (now_ms - ann->ended_ms[i] <= RECENT_MS)
+	for (i = 0; i < RECENT_ENDS_MAX; i++) {
+		if (now_ms - ann->ended_ms[i] <= RECENT_END_MS)
 			own++;
 	}
 	return in_use > own ? in_use - own : 0;
@@ -199,7 +197,6 @@
 	return root;
 }
 
-/* Checks and takes an announcement. */
 bool
 ann_put(struct ann *ann, const char *json, size_t len, uint32_t running,
     int64_t now_ms, struct status *st)
@@ -217,7 +214,6 @@
 	return ok;
 }
 
-/* Withdraws the announcement. */
 void
 ann_delete(struct ann *ann)
 {
@@ -226,14 +222,12 @@
 	memset(&ann->state, 0, sizeof(ann->state));
 }
 
-/* Remembers the end of a call for the count of foreign work. */
 void
 ann_call_ended(struct ann *ann, int64_t now_ms)
 {
-	ann->ended_ms[ann->ended_pos++ % RECENT_MAX] = now_ms;
+	ann->ended_ms[ann->ended_pos++ % RECENT_ENDS_MAX] = now_ms;
 }
 
-/* Returns what holds at this moment; a lapsed announcement is deleted. */
 const struct ann_state *
 ann_state(struct ann *ann, int64_t now_ms)
 {
--- a/src/connection/chunked.c
+++ b/src/connection/chunked.c
@@ -64,7 +64,6 @@
 	return BAD;
 }
 
-/* Decodes bytes as they arrive; what follows the end is ignored. */
 enum chk_verdict
 chk_feed(struct chk *chk, const char *bytes, size_t len, GByteArray *body)
 {
--- a/src/connection/chunked.h
+++ b/src/connection/chunked.h
@@ -6,19 +6,19 @@
 #include <stdint.h>
 
 /*
- * Decoder of the chunked transfer coding (RFC 9112 section 7.1).  libsoup
- * 3.2 takes a body that breaks off between two chunks for a whole one, so the
- * end is recognised here.  Zero-initialised before the first call.
+ * Decoder of the chunked transfer coding (RFC 9112 section 7.1).  It is needed
+ * because libsoup 3.2 accepts a body that is truncated between two chunks as
+ * complete.  Zero-initialised before the first call.
  */
 struct chk {
 	int state;
-	uint64_t left; /* of the current chunk */
-	int digits;
+	uint64_t left; /* bytes of the current chunk */
+	int digits;    /* of the current chunk size */
 };
 
 enum chk_verdict { CHK_MORE, CHK_END, CHK_BAD };
 
-/* Appends the data in these bytes to body. */
+/* Decodes bytes and appends the data to body; ignores bytes after the end. */
 enum chk_verdict chk_feed(
     struct chk *chk, const char *bytes, size_t len, GByteArray *body);
 
--- a/src/connection/endpoint.c
+++ b/src/connection/endpoint.c
@@ -6,13 +6,13 @@
 #include "connection/endpoint.h"
 #include "process/clock.h"
 
-/* glibc returned the memory of 64 KB reads to the kernel after each call. */
-#define READ_CHUNK_BYTES 8192
-#define US_PER_MS	 1000
-#define NS_PER_US	 1000
-#define NS_PER_MS	 1000000
-/* The run queue bounds the calls; libsoup must never hold one back. */
-#define SESSION_CONNECTIONS 65536
+/* With reads of 64 KB, glibc returned their memory to the kernel every call. */
+#define BODY_READ_BYTES 8192
+#define US_PER_MS	1000
+#define NS_PER_US	1000
+#define NS_PER_MS	1000000
+/* The run queue limits the calls, so libsoup must never delay one. */
+#define MAX_CONNECTIONS 65536
 
 struct ep {
 	struct ep_options opts;
@@ -25,7 +25,7 @@
 	SoupMessage *msg;
 	GCancellable *cancel;
 	GInputStream *stream;
-	GInputStream *raw; /* below the decoding of stream; borrowed */
+	GInputStream *raw; /* the body before chunk decoding; borrowed */
 	GByteArray *body;
 	struct chk chunks;
 	bool chunked;
@@ -33,8 +33,8 @@
 	int64_t begin_ns;
 	int64_t deadline_ms;
 	int64_t start_by_ns;
-	bool is_job; /* headers of the answer are not passed on */
-	bool sent;   /* a byte may have been written */
+	bool is_job_task; /* POST to /tasks; answer headers are dropped */
+	bool sent;	  /* a byte may have been written */
 	bool too_large;
 	bool expired;
 	uint64_t seq;
@@ -42,7 +42,7 @@
 	void *ctx;
 };
 
-/* Makes a client without redirects, authentication, proxies and decoding. */
+/* Redirects, authentication, proxies and content decoding are disabled. */
 struct ep *
 ep_new(const struct ep_options *opts)
 {
@@ -52,7 +52,7 @@
 	ep->opts.max_answer_bytes =
 	    MIN(opts->max_answer_bytes, (uint64_t)WIRE_PAYLOAD_MAX);
 	ep->session = soup_session_new_with_options("max-conns",
-	    SESSION_CONNECTIONS, "max-conns-per-host", SESSION_CONNECTIONS,
+	    MAX_CONNECTIONS, "max-conns-per-host", MAX_CONNECTIONS,
 	    "proxy-resolver", NULL, "timeout", 0, NULL);
 	soup_session_remove_feature_by_type(
 	    ep->session, SOUP_TYPE_AUTH_MANAGER);
@@ -62,7 +62,6 @@
 	return ep;
 }
 
-/* Cancels all calls and frees the client. */
 void
 ep_free(struct ep *ep)
 {
@@ -84,7 +83,6 @@
 	g_free(ep);
 }
 
-/* Reports whether this is an http URL with a host, a port and nothing else. */
 bool
 ep_address_is_valid(const char *address)
 {
@@ -117,19 +115,19 @@
 	g_free(call);
 }
 
-/* Headers that describe one connection or are set by the system itself. */
+/* Headers of a single connection, or set by the agent itself. */
 static bool
-is_own_header(const char *name)
+is_reserved_header(const char *name)
 {
-	static const char *const own[] = {"Connection", "Keep-Alive",
+	static const char *const reserved[] = {"Connection", "Keep-Alive",
 	    "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	    "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host",
 	    "Content-Length", "traceparent", "Sequoiaplank-Task-Id",
 	    "Sequoiaplank-Start-By"};
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(own); i++) {
-		if (g_ascii_strcasecmp(name, own[i]) == 0)
+	for (i = 0; i < G_N_ELEMENTS(reserved); i++) {
+		if (g_ascii_strcasecmp(name, reserved[i]) == 0)
 			return true;
 	}
 	return false;
@@ -150,7 +148,7 @@
 	soup_message_headers_iter_init(&iter, from);
 	while (n < WIRE_HEADERS_MAX &&
 	       soup_message_headers_iter_next(&iter, &name, &value)) {
-		if (is_own_header(name) || strlen(name) > WIRE_NAME_MAX ||
+		if (is_reserved_header(name) || strlen(name) > WIRE_NAME_MAX ||
 		    strlen(value) > 4096)
 			continue;
 		result->headers.headers_val[n].name = strdup(name);
@@ -159,7 +157,7 @@
 	result->headers.headers_len = n;
 }
 
-/* Whether the endpoint says that it did not run the task. */
+/* Whether the endpoint answered that it did not run the task. */
 static bool
 is_not_run(const struct call *call)
 {
@@ -173,9 +171,9 @@
 }
 
 /*
- * A latest start that the deadline bounds says nothing about the agent.  One
- * that the age of the configuration bounds is reported as stale, so that the
- * entry pauses the agent instead of sending it the same task again at once.
+ * The latest start time is the task's deadline, or the time at which the
+ * configuration becomes stale.  The reason STALE makes the entry pause the
+ * agent instead of sending it the same task again at once.
  */
 static void
 fill_not_run(const struct call *call, struct wire_result *result)
@@ -191,7 +189,7 @@
 {
 	result->outcome = WIRE_DONE;
 	result->status = soup_message_get_status(call->msg);
-	if (!call->is_job)
+	if (!call->is_job_task)
 		copy_headers(call, result);
 	if (call->body->len == 0)
 		return;
@@ -218,16 +216,16 @@
 	return WIRE_REASON_CONNECT;
 }
 
-/* Ends a call; whole says that the whole answer was received. */
+/* Ends a call; complete: the whole answer was received. */
 static void
-finish(struct call *call, bool whole)
+finish(struct call *call, bool complete)
 {
 	struct wire_result result = {.seq = call->seq};
 
 	if (call->ep != NULL) {
-		if (whole && is_not_run(call)) {
+		if (complete && is_not_run(call)) {
 			fill_not_run(call, &result);
-		} else if (whole) {
+		} else if (complete) {
 			fill_answer(call, &result);
 		} else {
 			result.outcome =
@@ -246,17 +244,17 @@
 read_more(struct call *call)
 {
 	g_input_stream_read_bytes_async(
-	    call->chunked ? call->raw : call->stream, READ_CHUNK_BYTES,
+	    call->chunked ? call->raw : call->stream, BODY_READ_BYTES,
 	    G_PRIORITY_DEFAULT, call->cancel, on_body, call);
 }
 
 /*
- * Whether a body that ended is whole.  libsoup 3.2 reports no error when the
- * connection ends before Content-Length bytes came, and an answer without a
- * length can't be told from a truncated one.
+ * Whether the body has its full length.  libsoup 3.2 reports no error when the
+ * connection closes before Content-Length bytes arrived.  An answer without a
+ * length counts as incomplete, since a truncated one would look the same.
  */
 static bool
-is_whole(const struct call *call)
+is_complete(const struct call *call)
 {
 	SoupMessageHeaders *headers =
 	    soup_message_get_response_headers(call->msg);
@@ -272,14 +270,14 @@
 		   call->body->len;
 }
 
-/* Takes a piece of the body; an empty one is its end. */
+/* Appends bytes that were read to the body; len is 0 at the end of input. */
 static void
-take_body(struct call *call, const char *data, gsize len)
+append_body(struct call *call, const char *data, gsize len)
 {
 	enum chk_verdict verdict = CHK_MORE;
 
 	if (len == 0) {
-		finish(call, !call->chunked && is_whole(call));
+		finish(call, !call->chunked && is_complete(call));
 		return;
 	}
 	if (call->chunked)
@@ -287,8 +285,8 @@
 	else
 		g_byte_array_append(call->body, (const guint8 *)data, len);
 	call->too_large = call->body->len > call->ep->opts.max_answer_bytes;
-	/* The end of the stream would take another turn of the loop. */
-	if (!call->chunked && is_whole(call))
+	/* Reading on to the end would take another main loop iteration. */
+	if (!call->chunked && is_complete(call))
 		verdict = CHK_END;
 	if (call->too_large || verdict != CHK_MORE)
 		finish(call, !call->too_large && verdict == CHK_END);
@@ -309,13 +307,13 @@
 		finish(call, false);
 	} else {
 		data = (gpointer)g_bytes_get_data(bytes, &len);
-		take_body(call, data, len);
+		append_body(call, data, len);
 	}
 	g_clear_pointer(&bytes, g_bytes_unref);
 }
 
 static GInputStream *
-base_of(GInputStream *stream)
+base_stream(GInputStream *stream)
 {
 	if (stream == NULL || !G_IS_FILTER_INPUT_STREAM(stream))
 		return NULL;
@@ -338,8 +336,8 @@
 			    soup_message_get_response_headers(call->msg)) ==
 			SOUP_ENCODING_CHUNKED;
 	if (call->chunked) {
-		/* The stream of the message, then the one that decodes. */
-		call->raw = base_of(base_of(call->stream));
+		/* Below the message's stream and the chunk decoder. */
+		call->raw = base_stream(base_stream(call->stream));
 		if (call->raw == NULL) {
 			finish(call, false);
 			return;
@@ -349,8 +347,8 @@
 }
 
 /*
- * Runs just before the first byte is written.  The cancellable is checked
- * before each write, so a call cancelled here has sent nothing.
+ * Runs just before the first byte is written.  libsoup checks the cancellable
+ * before each write, so after cancelling it here nothing is sent.
  */
 static void
 on_starting(SoupMessage *msg, gpointer data)
@@ -378,7 +376,7 @@
 }
 
 static gboolean
-on_bad_request(gpointer data)
+on_invalid_request(gpointer data)
 {
 	struct call *call = data;
 
@@ -399,7 +397,7 @@
 	for (i = 0; i < start->headers.headers_len; i++) {
 		const struct wire_header *h = &start->headers.headers_val[i];
 
-		if (!is_own_header(h->name))
+		if (!is_reserved_header(h->name))
 			soup_message_headers_append(headers, h->name, h->value);
 	}
 	snprintf(number, sizeof(number), "%lld", (long long)call->start_by_ns);
@@ -418,48 +416,45 @@
 	GBytes *bytes;
 	const char *type = soup_message_headers_get_one(
 	    soup_message_get_request_headers(msg), "Content-Type");
-	char *kept;
+	char *content_type;
 
 	if (start->payload.wire_payload_len == 0 && start->method[0] != '\0')
 		return;
-	kept = g_strdup(type != NULL ? type : "application/octet-stream");
+	content_type =
+	    g_strdup(type != NULL ? type : "application/octet-stream");
 	bytes = g_bytes_new_with_free_func(start->payload.wire_payload_val,
 	    start->payload.wire_payload_len, free,
 	    start->payload.wire_payload_val);
 	start->payload.wire_payload_val = NULL;
 	start->payload.wire_payload_len = 0;
-	soup_message_set_request_body_from_bytes(msg, kept, bytes);
+	soup_message_set_request_body_from_bytes(msg, content_type, bytes);
 	g_bytes_unref(bytes);
-	g_free(kept);
+	g_free(content_type);
 }
 
 static SoupMessage *
 message_new(const struct ep_request *request)
 {
 	const struct wire_start *start = request->start;
-	bool is_job = start->method[0] == '\0';
+	bool is_job_task = start->method[0] == '\0';
 	SoupMessage *msg = NULL;
 	char *text;
 	GUri *uri;
 
-	if (!is_job && start->path[0] != '/')
+	if (!is_job_task && start->path[0] != '/')
 		return NULL;
 	text = g_strconcat(
-	    request->address, is_job ? "/tasks" : start->path, NULL);
+	    request->address, is_job_task ? "/tasks" : start->path, NULL);
 	uri = g_uri_parse(text, SOUP_HTTP_URI_FLAGS, NULL);
 	if (uri != NULL) {
 		msg = soup_message_new_from_uri(
-		    is_job ? "POST" : start->method, uri);
+		    is_job_task ? "POST" : start->method, uri);
 		g_uri_unref(uri);
 	}
 	g_free(text);
 	return msg;
 }
 
-/*
- * Performs one call.  done runs when the whole answer is here, when it can no
- * longer be received, or at the deadline.
- */
 void
 ep_call(
     struct ep *ep, const struct ep_request *request, ep_done_fn done, void *ctx)
@@ -469,7 +464,7 @@
 
 	call->ep = ep;
 	call->seq = request->start->seq;
-	call->is_job = request->start->method[0] == '\0';
+	call->is_job_task = request->start->method[0] == '\0';
 	call->begin_ns = clk_now_ns();
 	call->deadline_ms = request->deadline_ms;
 	call->start_by_ns = request->start_by_ns;
@@ -480,10 +475,10 @@
 	g_hash_table_add(ep->calls, call);
 	call->msg = message_new(request);
 	if (call->msg == NULL) {
-		call->timer_id = g_idle_add(on_bad_request, call);
+		call->timer_id = g_idle_add(on_invalid_request, call);
 		return;
 	}
-	/* A request on a reused connection may be sent again by libsoup. */
+	/* libsoup may repeat a request that it sent on a reused connection. */
 	soup_message_set_flags(
 	    call->msg, SOUP_MESSAGE_NEW_CONNECTION | SOUP_MESSAGE_NO_REDIRECT);
 	set_headers(call, request);
--- a/src/connection/endpoint.h
+++ b/src/connection/endpoint.h
@@ -8,7 +8,7 @@
 #include "process/status.h"
 
 /*
- * HTTP calls to the endpoint beside this agent.  Each call uses a fresh
+ * HTTP client for the endpoint beside this agent.  Each call uses a new
  * connection and is never sent twice.
  */
 struct ep;
@@ -20,24 +20,26 @@
 /* One call.  Strings need to live only until ep_call() returns. */
 struct ep_request {
 	const char *address;	  /* "http://ip:port" */
-	struct wire_start *start; /* its payload is taken over */
-	int64_t deadline_ms;	  /* CLOCK_BOOTTIME, to the whole answer */
+	struct wire_start *start; /* the call takes over its payload */
+	int64_t deadline_ms;	  /* CLOCK_BOOTTIME, for the complete answer */
 	int64_t start_by_ns;	  /* CLOCK_BOOTTIME, not sent after this */
 	const char *traceparent;
 };
 
 /*
- * Runs once for each call, never from within ep_call().  NOT_STARTED means
- * that no byte was written.  The contents of result belong to the callee.
+ * Runs once for each call, but never within ep_call(): with the complete
+ * answer, when none can arrive any more, or at the deadline.  The outcome
+ * NOT_STARTED means that no byte was sent, or that the endpoint answered that
+ * it did not run the task.  The callee owns the contents of result.
  */
 typedef void (*ep_done_fn)(struct wire_result *result, void *ctx);
 
 struct ep *ep_new(const struct ep_options *opts);
-/* Calls still open are cancelled; their callbacks do not run. */
+/* Cancels open calls without running their callbacks. */
 void ep_free(struct ep *ep);
 void ep_call(struct ep *ep, const struct ep_request *request, ep_done_fn done,
     void *ctx);
-/* Whether an address has the form "http://host:port". */
+/* Whether this is an "http://host:port" URL without any other part. */
 bool ep_address_is_valid(const char *address);
 
 #endif
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -7,28 +7,29 @@
 #include "process/clock.h"
 #include "process/log.h"
 
-#define NS_PER_MS	1000000
-#define BACKOFF_MIN_MS	50
-#define BACKOFF_MAX_MS	2000 /* a returning entry is found within this */
-#define MS_PER_S	1000
-#define RESULTS_MAX_NOW 64 /* batches sent in one loop iteration */
+#define NS_PER_MS	      1000000
+#define EL_BACKOFF_MIN_MS     50
+#define EL_BACKOFF_MAX_MS     2000 /* bounds the time to reconnect to an entry */
+#define MS_PER_S	      1000
+#define MAX_BATCHES_PER_FLUSH 64 /* batches sent in one loop iteration */
 
 struct el {
 	struct el_options opts;
 	char *address;
 	struct rpc_conn *conn;
 	GCancellable *dialing;
-	bool open;	  /* HELLO accepted */
-	uint64_t entry;	  /* incarnation, kept over reconnects */
-	int64_t first_ns; /* send times of this connection's calls */
-	int64_t last_ns;
-	uint64_t received_seq; /* highest of this entry */
+	bool open;	/* HELLO accepted */
+	uint64_t entry; /* incarnation, kept over reconnections */
+	/* Send times of the HELLO and of the last call on this connection. */
+	int64_t first_sent_ns;
+	int64_t last_sent_ns;
+	uint64_t received_seq; /* highest start seq of this incarnation */
 	uint64_t members_digest;
-	struct wire_heartbeat_result heard; /* its members are kept */
+	struct wire_heartbeat_result kept_reply; /* owns the entry list */
 	int64_t backoff_ms;
 	guint retry_id;
 	guint heartbeat_id;
-	guint changed_id;
+	guint requested_heartbeat_id;
 	guint flush_id;
 };
 
@@ -50,12 +51,12 @@
 	int64_t delay_ms = el->backoff_ms / 2 +
 			   g_random_int_range(0, (gint32)el->backoff_ms + 1);
 
-	el->backoff_ms = MIN(el->backoff_ms * 2, BACKOFF_MAX_MS);
+	el->backoff_ms = MIN(el->backoff_ms * 2, EL_BACKOFF_MAX_MS);
 	if (el->retry_id == 0)
 		el->retry_id = g_timeout_add(delay_ms, on_retry, el);
 }
 
-/* Closes the socket at once; nothing that it still holds is processed. */
+/* Closes the socket at once; input still buffered in it is discarded. */
 static void
 drop_connection(struct el *el)
 {
@@ -63,7 +64,7 @@
 
 	el->open = false;
 	g_clear_handle_id(&el->heartbeat_id, g_source_remove);
-	g_clear_handle_id(&el->changed_id, g_source_remove);
+	g_clear_handle_id(&el->requested_heartbeat_id, g_source_remove);
 	g_clear_handle_id(&el->flush_id, g_source_remove);
 	if (el->dialing != NULL) {
 		g_cancellable_cancel(el->dialing);
@@ -77,7 +78,6 @@
 		el->opts.handlers->closed(el, el->entry, el->opts.ctx);
 }
 
-/* Closes the connection and opens a new one after a pause. */
 void
 el_reconnect(struct el *el, const char *why)
 {
@@ -100,19 +100,19 @@
 static void
 set_members(struct el *el, u_int *len, wire_member **val)
 {
-	xdr_free((xdrproc_t)xdr_wire_heartbeat_result, &el->heard);
-	memset(&el->heard, 0, sizeof(el->heard));
-	el->heard.members.members_len = *len;
-	el->heard.members.members_val = *val;
+	xdr_free((xdrproc_t)xdr_wire_heartbeat_result, &el->kept_reply);
+	memset(&el->kept_reply, 0, sizeof(el->kept_reply));
+	el->kept_reply.members.members_len = *len;
+	el->kept_reply.members.members_val = *val;
 	*len = 0;
 	*val = NULL;
 	el->opts.handlers->members(el, el->opts.ctx);
 }
 
 /*
- * Takes what the entry says about the configuration.  The age counts from
- * the send time of the call that was answered, so no time in transit and no
- * pause of this process makes a confirmation look newer than it is.
+ * Takes over the configuration from a reply.  Its age is counted from the time
+ * when the call was sent, so neither transit times nor a suspension of this
+ * process make a confirmation look newer than it is.
  */
 static void
 take_config(struct el *el, const struct wire_config *config, int64_t echo_ns)
@@ -131,8 +131,8 @@
 		fresh_take(el->opts.fresh, cfg);
 		cfg_unref(cfg);
 	}
-	if (config->age_ms >= 0 && echo_ns >= el->first_ns &&
-	    echo_ns <= el->last_ns)
+	if (config->age_ms >= 0 && echo_ns >= el->first_sent_ns &&
+	    echo_ns <= el->last_sent_ns)
 		fresh_confirm(el->opts.fresh, config->config_version,
 		    echo_ns / NS_PER_MS - config->age_ms);
 	el->opts.handlers->confirmed(el, el->opts.ctx);
@@ -174,10 +174,10 @@
 
 	memset(&state, 0, sizeof(state));
 	el->opts.handlers->hello(&state, el->opts.ctx);
-	el->last_ns = clk_now_ns();
+	el->last_sent_ns = clk_now_ns();
 	state.load.received_seq = el->received_seq;
 	args = (struct wire_heartbeat_args){
-	    .sent_ns = el->last_ns,
+	    .sent_ns = el->last_sent_ns,
 	    .config_version = fresh_version(el->opts.fresh),
 	    .members_digest = el->members_digest,
 	    .load = state.load,
@@ -204,22 +204,21 @@
 }
 
 static gboolean
-on_changed(gpointer data)
+on_heartbeat_requested(gpointer data)
 {
 	struct el *el = data;
 
-	el->changed_id = 0;
+	el->requested_heartbeat_id = 0;
 	send_heartbeat(el);
 	return G_SOURCE_REMOVE;
 }
 
-/* Asks for a heartbeat before the next regular one. */
 void
 el_changed(struct el *el)
 {
-	if (el->open && el->changed_id == 0)
-		el->changed_id =
-		    g_idle_add_full(G_PRIORITY_DEFAULT, on_changed, el, NULL);
+	if (el->open && el->requested_heartbeat_id == 0)
+		el->requested_heartbeat_id = g_idle_add_full(
+		    G_PRIORITY_DEFAULT, on_heartbeat_requested, el, NULL);
 }
 
 static gboolean
@@ -231,7 +230,7 @@
 	int i;
 
 	el->flush_id = 0;
-	for (i = 0; el->open && i < RESULTS_MAX_NOW; i++) {
+	for (i = 0; el->open && i < MAX_BATCHES_PER_FLUSH; i++) {
 		memset(&args, 0, sizeof(args));
 		if (!el->opts.handlers->results(el, &args, el->opts.ctx))
 			return G_SOURCE_REMOVE;
@@ -249,9 +248,8 @@
 }
 
 /*
- * Asks for the waiting results to be sent.  An idle source of the default
- * priority runs after the sources that are ready now, so that results which
- * end in the same iteration share a message.
+ * Schedules sending.  An idle source of default priority runs after all sources
+ * that are ready now, so results of the same loop iteration share a message.
  */
 void
 el_flush(struct el *el)
@@ -261,9 +259,9 @@
 		    g_idle_add_full(G_PRIORITY_DEFAULT, on_flush, el, NULL);
 }
 
-/* Starts of lower seqs arrive before, or never. */
+/* TCP keeps the order: a lower seq not received yet will never arrive. */
 static void
-note_received(struct el *el, const struct wire_start_args *args)
+record_received_seqs(struct el *el, const struct wire_start_args *args)
 {
 	u_int i;
 
@@ -281,7 +279,7 @@
 	memset(&args, 0, sizeof(args));
 	ok = xdr_wire_start_args(xdrs, &args);
 	if (ok) {
-		note_received(el, &args);
+		record_received_seqs(el, &args);
 		el->opts.handlers->acked(el, args.acked_result, el->opts.ctx);
 		ok = el->opts.handlers->start(el, &args, el->opts.ctx);
 	}
@@ -364,12 +362,12 @@
 	el->members_digest = 0;
 	if (!el->opts.handlers->opened(
 		el, &result->entry, previous, el->opts.ctx)) {
-		el->backoff_ms = BACKOFF_MAX_MS;
+		el->backoff_ms = EL_BACKOFF_MAX_MS;
 		el_reconnect(el, "entry is already connected");
 		return;
 	}
 	el->open = true;
-	el->backoff_ms = BACKOFF_MIN_MS;
+	el->backoff_ms = EL_BACKOFF_MIN_MS;
 	log_line(LOG_INFO, "entry %s: connected to %s", el->address,
 	    result->entry.name);
 	el->heartbeat_id =
@@ -414,7 +412,7 @@
 	args.key = (char *)el->opts.cluster_key;
 	args.incarnation = el->opts.incarnation;
 	args.config_version = fresh_version(el->opts.fresh);
-	args.sent_ns = el->first_ns = el->last_ns = clk_now_ns();
+	args.sent_ns = el->first_sent_ns = el->last_sent_ns = clk_now_ns();
 	if (!rpc_request(el->conn, WIRE_HELLO, (xdrproc_t)xdr_wire_hello_args,
 		&args, el->opts.silence_ms, on_hello_reply, el))
 		el_reconnect(el, "HELLO not sent");
@@ -450,7 +448,7 @@
 	    .on_closed = on_closed,
 	    .ctx = el,
 	};
-	/* The timeout of the client is for connecting only. */
+	/* The timeout inherited from the client applies to connecting only. */
 	g_socket_set_timeout(g_socket_connection_get_socket(socket), 0);
 	el->conn = rpc_new(&opts);
 	g_object_unref(socket);
@@ -473,7 +471,7 @@
 	g_object_unref(client);
 }
 
-/* Makes a link and starts to connect from the main loop. */
+/* Connecting starts in the next iteration of the main loop. */
 struct el *
 el_new(const struct el_options *opts)
 {
@@ -481,12 +479,11 @@
 
 	el->opts = *opts;
 	el->address = g_strdup(opts->address);
-	el->backoff_ms = BACKOFF_MIN_MS;
+	el->backoff_ms = EL_BACKOFF_MIN_MS;
 	el->retry_id = g_timeout_add(0, on_retry, el);
 	return el;
 }
 
-/* Closes and frees the link. */
 void
 el_free(struct el *el)
 {
@@ -494,36 +491,32 @@
 		return;
 	drop_connection(el);
 	g_clear_handle_id(&el->retry_id, g_source_remove);
-	xdr_free((xdrproc_t)xdr_wire_heartbeat_result, &el->heard);
+	xdr_free((xdrproc_t)xdr_wire_heartbeat_result, &el->kept_reply);
 	g_free(el->address);
 	g_free(el);
 }
 
-/* Returns the address that the link dials. */
 const char *
 el_address(const struct el *el)
 {
 	return el->address;
 }
 
-/* Returns the incarnation of the entry last reached. */
 uint64_t
 el_entry(const struct el *el)
 {
 	return el->entry;
 }
 
-/* Reports whether the entry can be called now. */
 bool
 el_is_open(const struct el *el)
 {
 	return el->open;
 }
 
-/* Returns the list of entries that this entry last told. */
 const struct wire_member *
 el_members(const struct el *el, size_t *n)
 {
-	*n = el->heard.members.members_len;
-	return el->heard.members.members_val;
+	*n = el->kept_reply.members.members_len;
+	return el->kept_reply.members.members_val;
 }
--- a/src/connection/entryset.c
+++ b/src/connection/entryset.c
@@ -3,16 +3,17 @@
 
 #include "connection/entryset.h"
 
-#define REVIEW_MS 1000 /* links that became idle are closed then */
+/* Interval of the selection, which also closes surplus links that are idle. */
+#define RESELECT_INTERVAL_MS 1000
 
 struct es {
 	struct es_options opts;
 	GPtrArray *links; /* struct el */
-	guint choose_id;
-	guint review_id;
+	guint reselect_id;
+	guint reselect_timer_id;
 };
 
-/* A place to connect to; entry is 0 for a seed. */
+/* An entry to connect to; its incarnation (entry) is 0 for a seed. */
 struct target {
 	const char *address;
 	uint64_t entry;
@@ -20,7 +21,7 @@
 	bool local;
 };
 
-/* FNV-1a with a final mix; stable over processes and versions. */
+/* FNV-1a with a final mix: the same value in every process and version. */
 static uint64_t
 hash_pair(const char *a, const char *b)
 {
@@ -87,9 +88,9 @@
 	}
 }
 
-/* The entries to be connected to, best first. */
+/* Returns the entries to connect to, the preferred ones first. */
 static GArray *
-wanted(const struct es *es)
+select_targets(const struct es *es)
 {
 	GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
 	bool any_open = es_open_links(es) > 0;
@@ -116,19 +117,19 @@
 }
 
 static bool
-serves(const struct el *el, const struct target *t)
+is_link_to(const struct el *el, const struct target *t)
 {
 	return strcmp(el_address(el), t->address) == 0 ||
 	       (t->entry != 0 && el_entry(el) == t->entry && el_is_open(el));
 }
 
 static bool
-is_wanted(const struct el *el, const GArray *targets)
+is_selected(const struct el *el, const GArray *targets)
 {
 	guint i;
 
 	for (i = 0; i < targets->len; i++) {
-		if (serves(el, &g_array_index(targets, struct target, i)))
+		if (is_link_to(el, &g_array_index(targets, struct target, i)))
 			return true;
 	}
 	return false;
@@ -141,14 +142,14 @@
 	guint i;
 
 	for (i = 0; i < es->links->len; i++) {
-		if (serves(es->links->pdata[i], t))
+		if (is_link_to(es->links->pdata[i], t))
 			return;
 	}
 	opts.address = t->address;
 	g_ptr_array_add(es->links, el_new(&opts));
 }
 
-/* Reports whether every wanted entry is connected. */
+/* Reports whether every selected entry is connected. */
 static bool
 all_open(const struct es *es, const GArray *targets)
 {
@@ -157,20 +158,20 @@
 	for (i = 0; i < es->links->len; i++) {
 		struct el *el = es->links->pdata[i];
 
-		open += el_is_open(el) && is_wanted(el, targets);
+		open += el_is_open(el) && is_selected(el, targets);
 	}
 	return open >= targets->len;
 }
 
 /*
- * An open link that is not wanted stays until all wanted ones are open.  An
- * entry that does not list itself yet would otherwise be dropped and dialled
- * again as a seed, without end.
+ * An open link to an entry that is not selected is kept until the links to all
+ * selected ones are open.  Otherwise an entry that does not list itself yet
+ * would be disconnected and dialled again as a seed in an endless loop.
  */
 static bool
 is_surplus(const struct es *es, struct el *el, const GArray *targets)
 {
-	if (is_wanted(el, targets))
+	if (is_selected(el, targets))
 		return false;
 	return !el_is_open(el) ||
 	       (all_open(es, targets) &&
@@ -178,14 +179,14 @@
 }
 
 static gboolean
-on_choose(gpointer data)
+on_reselect(gpointer data)
 {
 	struct es *es = data;
-	GArray *targets = wanted(es);
+	GArray *targets = select_targets(es);
 	GPtrArray *surplus = g_ptr_array_new();
 	guint i;
 
-	es->choose_id = 0;
+	es->reselect_id = 0;
 	for (i = 0; i < targets->len; i++)
 		ensure_link(es, &g_array_index(targets, struct target, i));
 	for (i = 0; i < es->links->len; i++) {
@@ -194,7 +195,7 @@
 		if (is_surplus(es, el, targets))
 			g_ptr_array_add(surplus, el);
 	}
-	g_array_unref(targets); /* refers to the lists of the links */
+	g_array_unref(targets); /* points into lists owned by the links */
 	for (i = 0; i < surplus->len; i++) {
 		g_ptr_array_remove_fast(es->links, surplus->pdata[i]);
 		el_free(surplus->pdata[i]);
@@ -203,23 +204,23 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Asks for a new choice; links are never freed within a callback of theirs. */
+/* Deferred, so that no link is freed while one of its callbacks runs. */
 void
 es_choose(struct es *es)
 {
-	if (es->choose_id == 0)
-		es->choose_id =
-		    g_idle_add_full(G_PRIORITY_DEFAULT, on_choose, es, NULL);
+	if (es->reselect_id == 0)
+		es->reselect_id =
+		    g_idle_add_full(G_PRIORITY_DEFAULT, on_reselect, es, NULL);
 }
 
 static gboolean
-on_review(gpointer data)
+on_reselect_timer(gpointer data)
 {
 	es_choose(data);
 	return G_SOURCE_CONTINUE;
 }
 
-/* Makes the set and dials the seeds from the main loop. */
+/* The seeds are dialled from the main loop. */
 struct es *
 es_new(const struct es_options *opts)
 {
@@ -227,12 +228,12 @@
 
 	es->opts = *opts;
 	es->links = g_ptr_array_new();
-	es->review_id = g_timeout_add(REVIEW_MS, on_review, es);
+	es->reselect_timer_id =
+	    g_timeout_add(RESELECT_INTERVAL_MS, on_reselect_timer, es);
 	es_choose(es);
 	return es;
 }
 
-/* Closes and frees all links. */
 void
 es_free(struct es *es)
 {
@@ -240,15 +241,14 @@
 
 	if (es == NULL)
 		return;
-	g_clear_handle_id(&es->choose_id, g_source_remove);
-	g_clear_handle_id(&es->review_id, g_source_remove);
+	g_clear_handle_id(&es->reselect_id, g_source_remove);
+	g_clear_handle_id(&es->reselect_timer_id, g_source_remove);
 	for (i = 0; i < es->links->len; i++)
 		el_free(es->links->pdata[i]);
 	g_ptr_array_unref(es->links);
 	g_free(es);
 }
 
-/* Returns the open link to an entry incarnation. */
 struct el *
 es_find(const struct es *es, uint64_t entry)
 {
@@ -263,7 +263,6 @@
 	return NULL;
 }
 
-/* Reports whether a connected entry lists this incarnation. */
 bool
 es_is_listed(const struct es *es, uint64_t entry)
 {
@@ -283,7 +282,6 @@
 	return false;
 }
 
-/* Returns the number of open links. */
 uint32_t
 es_open_links(const struct es *es)
 {
@@ -295,7 +293,6 @@
 	return n;
 }
 
-/* Runs fn for each link, open or not. */
 void
 es_each(const struct es *es, es_link_fn fn, void *ctx)
 {
--- a/src/connection/entryset.h
+++ b/src/connection/entryset.h
@@ -7,13 +7,14 @@
 #include "connection/entrylink.h"
 
 /*
- * The links of an agent: connects to at most max_links entries, chosen by
- * rendezvous hashing from the entry lists in replies, entries of the agent's
- * failure domain first.  Seeds are dialled while no entry is connected.
+ * The connections of an agent to entries.  Selects at most max_links entries by
+ * rendezvous hashing, those of the agent's failure domain first, from the lists
+ * that the entries send.  Seed addresses are dialled too while no entry is
+ * connected or none has sent a list.
  */
 struct es;
 
-/* Whether a link may be closed now without losing results. */
+/* Whether a link may be closed without losing unacknowledged results. */
 typedef bool (*es_idle_fn)(uint64_t entry, void *ctx);
 
 struct es_options {
@@ -21,20 +22,25 @@
 	const char *worker;	  /* outlives the set */
 	const char *failure_domain;
 	uint32_t max_links;
-	struct el_options link; /* address is set for each link */
+	struct el_options link; /* for every link, apart from its address */
 	es_idle_fn is_idle;
 	void *ctx;
 };
 
 struct es *es_new(const struct es_options *opts);
 void es_free(struct es *es);
-/* Chooses again in the next loop iteration; call when a list changed. */
+/*
+ * Repeats the selection in the next iteration of the main loop; to be called
+ * when a list of entries or the state of a link has changed.
+ */
 void es_choose(struct es *es);
 /* The open link to an entry incarnation, or NULL. */
 struct el *es_find(const struct es *es, uint64_t entry);
+/* Whether the list of any connected entry has this incarnation. */
 bool es_is_listed(const struct es *es, uint64_t entry);
 uint32_t es_open_links(const struct es *es);
 typedef void (*es_link_fn)(struct el *el, void *ctx);
+/* Calls fn for each link, whether open or not. */
 void es_each(const struct es *es, es_link_fn fn, void *ctx);
 
 #endif
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -5,32 +5,39 @@
 #include "process/events.h"
 #include "request/answertime.h"
 
-/* Renews the lease with two more tries before it ends. */
-#define WAIT_MS 160
 /*
- * While calls stay unanswered, one that waits for long would hide the ends of
- * runs until it times out.
+ * Wait of a long poll.  Each poll renews the lease, so two more renewals can be
+ * sent before a lease of HOLD_MAX_LEASE_MS expires.
  */
-#define DOUBT_WAIT_MS 30
-#define DOUBT_MS      3000
-/* Ends that come together are fetched by one call. */
-#define GATHER_MS 4
-#define RETRY_MS  50
+#define POLL_WAIT_MS 160
 /*
- * No task is sent to the worker while it has not answered for this long, a
- * waiting call included, or while calls since this long went unanswered.
+ * Wait of polls in the period after a call got no answer.  If a longer poll is
+ * lost too, the runs that ended meanwhile are noticed only after its timeout.
+ */
+#define SHORT_POLL_WAIT_MS   30
+#define SHORT_POLL_PERIOD_MS 3000
+/* Delay before the next poll, so that one poll reports several ended runs. */
+#define POLL_DELAY_MS 4
+#define POLL_RETRY_MS 50
+/*
+ * The worker is not ready, and gets no starts, when its last report is older
+ * than MAX_ANSWER_AGE_MS (which includes the wait of a poll), or when no call
+ * was answered since one sent more than MAX_UNANSWERED_MS ago.
+ */
+#define MAX_ANSWER_AGE_MS 700
+#define MAX_UNANSWERED_MS 250
+/*
+ * Added to the lease to get an upper bound of its end: the worker's clock may
+ * be 2% slow, and rounding and killing the tasks take more time.
  */
-#define SILENT_MS     700
-#define UNANSWERED_MS 250
-/* The worker's clock may be slow by 2%; rounding and the kill take more. */
 #define LEASE_SLACK_PERCENT 3
 #define LEASE_SLACK_MS	    60
-/* Added to a token that turned out to be too low. */
-#define TOKEN_SKIP 1000000
+/* Added to the fencing token when the worker refused it as too low. */
+#define FENCED_TOKEN_STEP 1000000
 
 enum phase {
-	ABSENT,	  /* no heartbeat yet, or the worker left */
-	CLEARING, /* stops what runs there already */
+	ABSENT,	  /* no heartbeat yet, or the worker was deregistered */
+	CLEARING, /* stops the runs of earlier agents or incarnations */
 	READY,
 };
 
@@ -43,34 +50,37 @@
 	int64_t seq;
 	int64_t token;
 	int64_t last_end;
-	int64_t clock_ms; /* of the worker at clock_at_ms */
+	int64_t clock_ms; /* the worker's clock at clock_at_ms */
 	int64_t clock_at_ms;
-	int64_t sent_ms;	 /* the call in progress, 0: none */
-	int64_t answered_ms;	 /* last answer of this incarnation */
-	int64_t deadline_ms;	 /* of the lease, on the worker's clock */
-	int64_t lease_ends_ms;	 /* upper bound, 0: no lease was given */
-	int64_t silent_since_ms; /* first call without an answer, 0: none */
-	uint64_t generation;	 /* of the target; older answers are dropped */
-	int64_t doubt_until_ms;	 /* calls went unanswered recently */
-	const char *replaced;	 /* why runs are lost once cleared, or NULL */
+	int64_t sent_ms;       /* of the poll in progress, 0: none */
+	int64_t answered_ms;   /* last report of this incarnation */
+	int64_t deadline_ms;   /* of the lease, on the worker's clock */
+	int64_t lease_ends_ms; /* upper bound, 0: no lease was given */
+	int64_t
+	    unanswered_since_ms; /* first of the unanswered calls, 0: none */
+	/* Incremented per incarnation; answers of older ones are ignored. */
+	uint64_t generation;
+	int64_t short_poll_until_ms;
+	/* Reason for reporting runs as lost when clearing is done, or NULL. */
+	const char *lost_reason;
 	struct ans answers;
-	bool looking; /* a call of hold_look() is in progress */
-	bool look_again;
-	guint next_id;
+	bool extra_in_progress; /* a request of hold_look() is in progress */
+	bool extra_pending;	/* another one was asked for meanwhile */
+	guint poll_id;
 	bool was_ready;
 };
 
-/* A call for a report. */
+/* A request for a report: a poll, or an extra one of hold_look(). */
 struct call {
 	struct hold *hold;
 	uint64_t generation;
 	int64_t sent_ms;
 	int64_t wait_ms;
-	bool look;
+	bool is_extra;
 };
 
-/* A start or stop; its answer goes on to the caller. */
-struct order {
+/* A start or stop call, whose answer is passed to the caller. */
+struct relayed_call {
 	struct hold *hold;
 	uint64_t generation;
 	int64_t sent_ms;
@@ -78,7 +88,7 @@
 	void *ctx;
 };
 
-static void call_hold(struct hold *hold);
+static void poll_worker(struct hold *hold);
 
 struct hold *
 hold_new(const struct hold_options *opts)
@@ -86,18 +96,18 @@
 	struct hold *hold = g_new0(struct hold, 1);
 
 	hold->opts = *opts;
-	hold->opts.lease_ms = MIN(opts->lease_ms, HOLD_LEASE_MS);
+	hold->opts.lease_ms = MIN(opts->lease_ms, HOLD_MAX_LEASE_MS);
 	hold->token = opts->token;
 	return hold;
 }
 
-/* The port must not answer any more after this. */
+/* No answer of the worker port may arrive after this. */
 void
 hold_free(struct hold *hold)
 {
 	if (hold == NULL)
 		return;
-	g_clear_handle_id(&hold->next_id, g_source_remove);
+	g_clear_handle_id(&hold->poll_id, g_source_remove);
 	g_free(hold->instance);
 	g_free(hold->address);
 	g_free(hold);
@@ -108,7 +118,7 @@
 {
 	hold->generation++;
 	hold->phase = ABSENT;
-	g_clear_handle_id(&hold->next_id, g_source_remove);
+	g_clear_handle_id(&hold->poll_id, g_source_remove);
 }
 
 bool
@@ -117,9 +127,9 @@
 	int64_t now_ms = clk_now_ms();
 
 	return hold->phase == READY &&
-	       now_ms - hold->answered_ms <= SILENT_MS &&
-	       (hold->silent_since_ms == 0 ||
-		   now_ms - hold->silent_since_ms <= UNANSWERED_MS);
+	       now_ms - hold->answered_ms <= MAX_ANSWER_AGE_MS &&
+	       (hold->unanswered_since_ms == 0 ||
+		   now_ms - hold->unanswered_since_ms <= MAX_UNANSWERED_MS);
 }
 
 uint64_t
@@ -129,7 +139,7 @@
 }
 
 static void
-check_ready(struct hold *hold)
+update_ready(struct hold *hold)
 {
 	bool ready = hold_is_ready(hold);
 
@@ -155,24 +165,27 @@
 	};
 }
 
-/* Takes the answer of a call that could be answered since sent_ms, or its lack. */
+/*
+ * Records whether a call was answered.  sent_ms is the earliest time at which
+ * the worker could answer: that of sending, plus the wait of a poll.
+ */
 static void
-note_answer(struct hold *hold, enum wp_verdict verdict, int64_t sent_ms)
+record_answer(struct hold *hold, enum wp_verdict verdict, int64_t sent_ms)
 {
 	int64_t now_ms = clk_now_ms();
 
 	if (verdict != WP_NO_ANSWER) {
 		ans_came(&hold->answers, now_ms - sent_ms);
-		hold->silent_since_ms = 0;
+		hold->unanswered_since_ms = 0;
 		return;
 	}
 	ans_missed(&hold->answers);
-	hold->doubt_until_ms = now_ms + DOUBT_MS;
-	if (hold->silent_since_ms == 0)
-		hold->silent_since_ms = sent_ms;
+	hold->short_poll_until_ms = now_ms + SHORT_POLL_PERIOD_MS;
+	if (hold->unanswered_since_ms == 0)
+		hold->unanswered_since_ms = sent_ms;
 }
 
-/* Extends the lease to its full length; returns its end. */
+/* Renews the lease; returns its new end on the worker's clock. */
 static int64_t
 extend_lease(struct hold *hold)
 {
@@ -187,44 +200,44 @@
 }
 
 /*
- * The end of the lease for a start.  A call without an answer may have been
- * carried out, so a lease that each of them extends would never be known to
- * have ended while the worker is silent.
+ * Returns the lease deadline to send with a start.  An unanswered call may have
+ * been executed, so if every start extended the lease of a worker that does not
+ * answer, the upper bound of the lease would move on forever.
  */
 static int64_t
 start_deadline_ms(struct hold *hold)
 {
-	if (hold->silent_since_ms != 0 &&
+	if (hold->unanswered_since_ms != 0 &&
 	    hold->lease_ends_ms - clk_now_ms() > hold->opts.lease_ms / 2)
 		return hold->deadline_ms;
 	return extend_lease(hold);
 }
 
 static gboolean
-on_next(gpointer data)
+on_poll_due(gpointer data)
 {
 	struct hold *hold = data;
 
-	hold->next_id = 0;
-	call_hold(hold);
+	hold->poll_id = 0;
+	poll_worker(hold);
 	return G_SOURCE_REMOVE;
 }
 
 static void
-call_later(struct hold *hold, guint pause_ms)
+schedule_poll(struct hold *hold, guint pause_ms)
 {
-	if (hold->next_id == 0 && hold->phase != ABSENT)
-		hold->next_id = g_timeout_add(pause_ms, on_next, hold);
+	if (hold->poll_id == 0 && hold->phase != ABSENT)
+		hold->poll_id = g_timeout_add(pause_ms, on_poll_due, hold);
 }
 
 static void
-forget_answer(const struct wp_answer *answer, void *ctx)
+ignore_answer(const struct wp_answer *answer, void *ctx)
 {
 	(void)answer;
 	(void)ctx;
 }
 
-/* Ends the runs of an earlier process, whose room is not known. */
+/* Stops runs of an earlier agent process, whose task sizes are unknown. */
 static void
 clear_runs(struct hold *hold, const struct wp_report *report)
 {
@@ -234,7 +247,7 @@
 	for (i = 0; i < report->n_running; i++)
 		hold->opts.wp->stop(hold->opts.wp->port, &target,
 		    report->running[i].task, report->running[i].run,
-		    forget_answer, NULL);
+		    ignore_answer, NULL);
 	if (report->n_running == 0)
 		hold->phase = READY;
 	else
@@ -243,30 +256,31 @@
 }
 
 /*
- * A call without an answer may still be carried out, also by a worker that was
- * born anew under the same name, unless that has seen a higher token.
+ * Raises the fencing token.  An unanswered call may still be executed, also by
+ * a new incarnation under the same name, until the worker sees a higher token.
  */
 static void
-fence(struct hold *hold)
+raise_token(struct hold *hold)
 {
 	hold->token++;
 }
 
 static void
-lose(struct hold *hold, const char *reason)
+report_runs_lost(struct hold *hold, const char *reason)
 {
 	hold->lease_ends_ms = 0;
-	hold->replaced = NULL;
+	hold->lost_reason = NULL;
 	hold->opts.lost(reason, hold->opts.ctx);
 }
 
 static void
-take_report(struct hold *hold, const struct wp_report *report, int64_t sent_ms)
+process_report(
+    struct hold *hold, const struct wp_report *report, int64_t sent_ms)
 {
 	size_t i;
 
 	hold->answered_ms = clk_now_ms();
-	hold->silent_since_ms = 0;
+	hold->unanswered_since_ms = 0;
 	hold->clock_ms = report->answer.clock_ms;
 	hold->clock_at_ms = hold->answered_ms;
 	for (i = 0; i < report->n_ended; i++)
@@ -274,12 +288,12 @@
 	if (hold->phase == CLEARING)
 		clear_runs(hold, report);
 	hold->opts.report(report, sent_ms, hold->opts.ctx);
-	if (hold->phase == READY && hold->replaced != NULL)
-		lose(hold, hold->replaced);
-	check_ready(hold);
+	if (hold->phase == READY && hold->lost_reason != NULL)
+		report_runs_lost(hold, hold->lost_reason);
+	update_ready(hold);
 }
 
-/* False when the report is of another incarnation, or there is none. */
+/* Whether this is a report, and of the current incarnation. */
 static bool
 is_report_of(const struct hold *hold, const struct wp_report *report)
 {
@@ -295,29 +309,30 @@
 
 	if (call->generation != hold->generation)
 		return;
-	if (call->look)
-		hold->looking = false;
+	if (call->is_extra)
+		hold->extra_in_progress = false;
 	else
 		hold->sent_ms = 0;
-	/* The wait ends early when a run ends, so only misses count. */
+	/* A poll returns early when a run ends: no sample of answer time. */
 	if (report->answer.verdict == WP_NO_ANSWER || call->wait_ms == 0)
-		note_answer(hold, report->answer.verdict,
+		record_answer(hold, report->answer.verdict,
 		    call->sent_ms + call->wait_ms);
 	if (report->answer.verdict == WP_FENCED)
-		hold->token += TOKEN_SKIP;
+		hold->token += FENCED_TOKEN_STEP;
 	if (is_report_of(hold, report))
-		take_report(hold, report, call->sent_ms);
-	if (call->look &&
-	    (hold->look_again || report->answer.verdict == WP_NO_ANSWER)) {
-		hold->look_again = false;
+		process_report(hold, report, call->sent_ms);
+	if (call->is_extra &&
+	    (hold->extra_pending || report->answer.verdict == WP_NO_ANSWER)) {
+		hold->extra_pending = false;
 		hold_look(hold);
 	}
-	/* The heartbeat of another incarnation tells the rest of it. */
-	call_later(hold, is_report_of(hold, report) ? GATHER_MS : RETRY_MS);
+	/* A new incarnation is adopted when its heartbeat arrives. */
+	schedule_poll(
+	    hold, is_report_of(hold, report) ? POLL_DELAY_MS : POLL_RETRY_MS);
 }
 
 static void
-send_hold(struct hold *hold, const struct wp_hold *args, bool look)
+send_hold(struct hold *hold, const struct wp_hold *args, bool is_extra)
 {
 	struct wp_target target = target_of(hold);
 	struct call *call = g_new0(struct call, 1);
@@ -326,9 +341,9 @@
 	call->generation = hold->generation;
 	call->sent_ms = clk_now_ms();
 	call->wait_ms = args->wait_ms;
-	call->look = look;
-	if (look)
-		hold->looking = true;
+	call->is_extra = is_extra;
+	if (is_extra)
+		hold->extra_in_progress = true;
 	else
 		hold->sent_ms = call->sent_ms;
 	hold->opts.wp->hold(
@@ -336,17 +351,17 @@
 }
 
 static void
-call_hold(struct hold *hold)
+poll_worker(struct hold *hold)
 {
 	struct wp_hold args = {.last_end = hold->last_end};
 
 	if (hold->phase == ABSENT || hold->sent_ms != 0)
 		return;
 	if (hold->phase == READY) {
-		args.wait_ms = clk_now_ms() < hold->doubt_until_ms
-				   ? DOUBT_WAIT_MS
-				   : WAIT_MS;
-		if (hold->silent_since_ms == 0 &&
+		args.wait_ms = clk_now_ms() < hold->short_poll_until_ms
+				   ? SHORT_POLL_WAIT_MS
+				   : POLL_WAIT_MS;
+		if (hold->unanswered_since_ms == 0 &&
 		    hold->opts.wanted(hold->opts.ctx))
 			args.deadline_ms = extend_lease(hold);
 	}
@@ -360,45 +375,46 @@
 
 	if (hold->phase != READY)
 		return;
-	if (hold->looking)
-		hold->look_again = true;
+	if (hold->extra_in_progress)
+		hold->extra_pending = true;
 	else
 		send_hold(hold, &args, true);
 }
 
 static void
-begin(struct hold *hold, const struct wp_worker *worker)
+adopt_worker(struct hold *hold, const struct wp_worker *worker)
 {
-	bool had = hold->phase != ABSENT;
+	bool had_worker = hold->phase != ABSENT;
 
 	hold->generation++;
 	hold->phase = CLEARING;
 	hold->born_ms = worker->born_ms;
 	hold->last_end = 0;
 	hold->sent_ms = 0;
-	hold->silent_since_ms = 0;
-	hold->looking = hold->look_again = false;
+	hold->unanswered_since_ms = 0;
+	hold->extra_in_progress = hold->extra_pending = false;
 	hold->answered_ms = clk_now_ms();
 	hold->was_ready = false;
-	g_clear_handle_id(&hold->next_id, g_source_remove);
+	g_clear_handle_id(&hold->poll_id, g_source_remove);
 	g_free(hold->instance);
 	hold->instance = g_strdup(worker->instance);
 	g_free(hold->address);
 	hold->address = g_strdup(worker->address);
-	if (had) {
+	if (had_worker) {
 		/*
-		 * A start to the former incarnation may run on this one until
-		 * it is stopped; its task must not go elsewhere before.
+		 * The new incarnation may have executed a start sent to the
+		 * former one.  The runs are reported lost, so that their tasks
+		 * restart elsewhere, only after it was cleared.
 		 */
-		fence(hold);
-		hold->replaced = "worker was replaced";
+		raise_token(hold);
+		hold->lost_reason = "worker was replaced";
 	}
 	evt_write("worker",
 	    "\"instance\":\"%s\",\"born_ms\":%" G_GUINT64_FORMAT
 	    ",\"address\":\"%s\",\"state\":\"registered\"",
 	    hold->instance, hold->born_ms, hold->address);
 	hold->opts.changed(hold->opts.ctx);
-	call_hold(hold);
+	poll_worker(hold);
 }
 
 bool
@@ -413,7 +429,7 @@
 		return false;
 	hold->seq = worker->seq;
 	if (!same || hold->phase == ABSENT)
-		begin(hold, worker);
+		adopt_worker(hold, worker);
 	return true;
 }
 
@@ -426,14 +442,17 @@
 	hold->phase = ABSENT;
 	hold->sent_ms = 0;
 	hold->was_ready = false;
-	g_clear_handle_id(&hold->next_id, g_source_remove);
-	lose(hold, "worker left");
+	g_clear_handle_id(&hold->poll_id, g_source_remove);
+	report_runs_lost(hold, "worker left");
 	evt_write(
 	    "worker", "\"instance\":\"%s\",\"state\":\"left\"", hold->instance);
 	hold->opts.changed(hold->opts.ctx);
 }
 
-/* Notices a silent worker, and when its lease must have ended. */
+/*
+ * Updates the readiness of the worker, and reports its runs as lost when it
+ * stopped answering and its lease has certainly expired.
+ */
 void
 hold_tick(struct hold *hold)
 {
@@ -441,37 +460,39 @@
 
 	if (hold->phase == ABSENT)
 		return;
-	check_ready(hold);
+	update_ready(hold);
 	if (hold->lease_ends_ms != 0 && now_ms > hold->lease_ends_ms &&
 	    !hold_is_ready(hold)) {
 		hold->phase = CLEARING;
-		fence(hold);
-		lose(hold, "worker is silent and its lease has ended");
+		raise_token(hold);
+		report_runs_lost(
+		    hold, "worker is silent and its lease has ended");
 	}
-	call_later(hold, GATHER_MS);
+	schedule_poll(hold, POLL_DELAY_MS);
 }
 
-static struct order *
-new_order(struct hold *hold, wp_answer_fn fn, void *ctx)
+static struct relayed_call *
+relayed_call_new(struct hold *hold, wp_answer_fn fn, void *ctx)
 {
-	struct order *order = g_new0(struct order, 1);
-
-	order->hold = hold;
-	order->generation = hold->generation;
-	order->sent_ms = clk_now_ms();
-	order->fn = fn;
-	order->ctx = ctx;
-	return order;
+	struct relayed_call *relayed_call = g_new0(struct relayed_call, 1);
+
+	relayed_call->hold = hold;
+	relayed_call->generation = hold->generation;
+	relayed_call->sent_ms = clk_now_ms();
+	relayed_call->fn = fn;
+	relayed_call->ctx = ctx;
+	return relayed_call;
 }
 
 static void
-on_order(const struct wp_answer *answer, void *ctx)
+on_relayed_answer(const struct wp_answer *answer, void *ctx)
 {
-	g_autofree struct order *order = ctx;
+	g_autofree struct relayed_call *relayed_call = ctx;
 
-	if (order->generation == order->hold->generation)
-		note_answer(order->hold, answer->verdict, order->sent_ms);
-	order->fn(answer, order->ctx);
+	if (relayed_call->generation == relayed_call->hold->generation)
+		record_answer(
+		    relayed_call->hold, answer->verdict, relayed_call->sent_ms);
+	relayed_call->fn(answer, relayed_call->ctx);
 }
 
 void
@@ -486,8 +507,8 @@
 	    .deadline_ms = start_deadline_ms(hold),
 	};
 
-	hold->opts.wp->start(hold->opts.wp->port, &target, &start, on_order,
-	    new_order(hold, fn, ctx));
+	hold->opts.wp->start(hold->opts.wp->port, &target, &start,
+	    on_relayed_answer, relayed_call_new(hold, fn, ctx));
 }
 
 void
@@ -496,6 +517,6 @@
 {
 	struct wp_target target = target_of(hold);
 
-	hold->opts.wp->stop(hold->opts.wp->port, &target, task, run, on_order,
-	    new_order(hold, fn, ctx));
+	hold->opts.wp->stop(hold->opts.wp->port, &target, task, run,
+	    on_relayed_answer, relayed_call_new(hold, fn, ctx));
 }
--- a/src/connection/holder.h
+++ b/src/connection/holder.h
@@ -8,28 +8,35 @@
 #include "process/status.h"
 
 /*
- * Keeps the lease of the worker's runs, collects their ends, and follows the
- * worker through replacement, silence and return.  The lease is renewed only
+ * Holds the lease under which one worker runs the agent's tasks: renews it,
+ * polls the worker for runs that ended, and detects that the worker was
+ * replaced, stopped answering or answers again.  The lease is renewed only
  * while this process runs, so the worker itself ends the runs of an agent
- * that is dead, frozen or cut off.
+ * that crashed, was suspended or lost its network.
  */
 struct hold;
 
-/* Longer leases are not taken: the tasks of a silent worker wait for the end. */
-#define HOLD_LEASE_MS 500
+/*
+ * Upper limit of the lease, also when the worker grants a longer one: tasks on
+ * a worker that stopped answering are restarted only after the lease expired.
+ */
+#define HOLD_MAX_LEASE_MS 500
 
 struct hold_options {
 	const struct wp *wp; /* borrowed */
 	int64_t lease_ms;    /* longest lease that the worker grants */
-	int64_t token;	     /* above that of every earlier process here */
-	/* Whether the lease is wanted. */
+	int64_t token; /* fencing token, above that of any earlier agent */
+	/* Whether polls should renew the lease: some run needs it. */
 	bool (*wanted)(void *ctx);
-	/* Reports; one that was asked for earlier may come later. */
+	/*
+	 * A report of the worker, for the request sent at sent_ms.  Reports may
+	 * arrive in another order than they were requested.
+	 */
 	void (*report)(
 	    const struct wp_report *report, int64_t sent_ms, void *ctx);
-	/* Nothing that was started before runs any more. */
+	/* No run started so far runs any more; their outcomes are unknown. */
 	void (*lost)(const char *reason, void *ctx);
-	/* hold_is_ready() has changed. */
+	/* The worker, or the value of hold_is_ready(), has changed. */
 	void (*changed)(void *ctx);
 	void *ctx;
 };
@@ -37,19 +44,26 @@
 struct hold *hold_new(const struct hold_options *opts);
 void hold_free(struct hold *hold);
 
-/* Makes no call and takes no answer from then on. */
+/* Sends no call and ignores pending answers from then on. */
 void hold_close(struct hold *hold);
-/* Takes a heartbeat; false when a newer one or incarnation is known. */
+/*
+ * Processes a heartbeat of the worker.  Returns false, without effect, for one
+ * older than the last one or from a former incarnation.
+ */
 bool hold_heartbeat(struct hold *hold, const struct wp_worker *worker);
-/* The worker has left for good. */
+/* The worker was deregistered and will not return. */
 void hold_left(struct hold *hold, const char *instance);
+/* To be called periodically; detects timeouts and an expired lease. */
 void hold_tick(struct hold *hold);
-/* Asks for a report now, beside the call that waits for the next end. */
+/* Requests a report at once, besides the long poll that is in progress. */
 void hold_look(struct hold *hold);
 
-/* Whether starts may be sent: the worker answers and runs nothing unknown. */
+/*
+ * Whether starts may be sent: the worker answers, and no run of an earlier
+ * agent process is left on it.
+ */
 bool hold_is_ready(const struct hold *hold);
-/* Start of the worker's incarnation, 0: no worker. */
+/* The worker's start time, which identifies its incarnation; 0: no worker. */
 uint64_t hold_born_ms(const struct hold *hold);
 void hold_start(struct hold *hold, const char *task, const char *spec,
     int64_t run, wp_answer_fn fn, void *ctx);
--- a/src/connection/httplisten.c
+++ b/src/connection/httplisten.c
@@ -2,11 +2,11 @@
 #include "connection/httplisten.h"
 
 /*
- * GLib's default of 10 made the kernel drop connections when 200 callers
- * connected at once; they came back after a second or more.
+ * With GLib's default of 10, the kernel dropped connections when 200 callers
+ * connected at once, and they retried only after a second or more.
  */
-#define BACKLOG	  1024
-#define TIMER_KEY "sequoiaplank-receive-timer"
+#define HTTP_BACKLOG 1024
+#define TIMER_KEY    "sequoiaplank-receive-timer"
 
 struct timer {
 	SoupServerMessage *msg;
@@ -23,7 +23,7 @@
 }
 
 static gboolean
-on_too_slow(gpointer data)
+on_receive_timeout(gpointer data)
 {
 	struct timer *timer = data;
 	GSocket *socket = soup_server_message_get_socket(timer->msg);
@@ -49,13 +49,12 @@
 
 	(void)server;
 	timer->msg = msg;
-	timer->id = g_timeout_add(receive_ms, on_too_slow, timer);
+	timer->id = g_timeout_add(receive_ms, on_receive_timeout, timer);
 	g_object_set_data_full(G_OBJECT(msg), TIMER_KEY, timer, timer_free);
 	g_signal_connect(msg, "got-body", G_CALLBACK(on_received), NULL);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_received), NULL);
 }
 
-/* Closes connections whose request has not arrived whole in time. */
 void
 hl_limit_receive(SoupServer *server, int64_t receive_ms)
 {
@@ -64,7 +63,6 @@
 	    GUINT_TO_POINTER((guint)receive_ms));
 }
 
-/* Binds an address and serves it. */
 bool
 hl_listen(SoupServer *server, const char *listen, struct status *st)
 {
@@ -78,7 +76,7 @@
 	socket = g_socket_new(g_socket_address_get_family(address),
 	    G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &error);
 	if (socket != NULL) {
-		g_socket_set_listen_backlog(socket, BACKLOG);
+		g_socket_set_listen_backlog(socket, HTTP_BACKLOG);
 		ok = g_socket_bind(socket, address, TRUE, &error) &&
 		     g_socket_listen(socket, &error) &&
 		     soup_server_listen_socket(server, socket, 0, &error);
@@ -92,7 +90,6 @@
 	return ok;
 }
 
-/* Drops what arrived of the body and what will. */
 void
 hl_refuse_body(SoupServerMessage *msg)
 {
@@ -105,7 +102,6 @@
 	    "close");
 }
 
-/* Judges the body by the headers of the request. */
 bool
 hl_body_exceeds(SoupServerMessage *msg, uint64_t max_bytes)
 {
--- a/src/connection/httplisten.h
+++ b/src/connection/httplisten.h
@@ -7,19 +7,23 @@
 
 #include "process/status.h"
 
-/* How long a request may take to arrive, and a connection stay idle. */
+/* Default time for a request to arrive, including idle time before it. */
 #define HL_RECEIVE_MS 60000
 
-/* listen is "ip:port"; the server serves from the thread-default main context. */
+/* listen is "ip:port"; requests run in the thread-default main context. */
 bool hl_listen(SoupServer *server, const char *listen, struct status *st);
-/* Call before hl_listen(). */
+/*
+ * Closes connections whose request does not arrive completely within
+ * receive_ms.  To be called before hl_listen().
+ */
 void hl_limit_receive(SoupServer *server, int64_t receive_ms);
 /*
- * Stops storing the body of a request; call it from an early handler or from
- * "got-headers".  The connection closes after the answer.
+ * Discards the body of a request, both received and future bytes, and closes
+ * the connection after the answer.  To be called from an early handler or from
+ * "got-headers".
  */
 void hl_refuse_body(SoupServerMessage *msg);
-/* Whether a body was declared that is larger than this, or of any length. */
+/* Whether the headers declare a body above max_bytes or of unknown length. */
 bool hl_body_exceeds(SoupServerMessage *msg, uint64_t max_bytes);
 
 #endif
--- a/src/connection/listener.c
+++ b/src/connection/listener.c
@@ -72,7 +72,7 @@
 	ln->service = g_socket_service_new();
 	if (address == NULL)
 		return false;
-	/* Every agent connects again at once when an entry returns. */
+	/* All agents reconnect at the same time when an entry restarts. */
 	g_socket_listener_set_backlog(
 	    G_SOCKET_LISTENER(ln->service), MAX_UNIDENTIFIED);
 	ok = g_socket_listener_add_address(G_SOCKET_LISTENER(ln->service),
@@ -88,7 +88,7 @@
 	return ok;
 }
 
-/* Binds the address and accepts connections from the main loop. */
+/* Connections are accepted from the main loop. */
 struct ln *
 ln_new(const struct ln_options *opts, struct status *st)
 {
@@ -103,7 +103,6 @@
 	return ln;
 }
 
-/* Closes everything that has no owner yet. */
 void
 ln_free(struct ln *ln)
 {
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -8,8 +8,8 @@
 #include "process/status.h"
 
 /*
- * The entry's RPC listener.  The first call on a connection shows whether an
- * agent or another entry called, and the connection goes to its owner.
+ * The entry's RPC listener.  By the program number of its first call, a
+ * connection is passed to the set of agents or to the set of peers.
  */
 struct ln;
 
@@ -20,9 +20,9 @@
 	int64_t silence_ms;
 };
 
-/* NULL with a status when the address can't be bound. */
+/* Returns NULL, with the reason in st, when the address can't be bound. */
 struct ln *ln_new(const struct ln_options *opts, struct status *st);
-/* Closes the listener and the connections without a call; NULL is allowed. */
+/* Also closes connections that have not made a call; ln may be NULL. */
 void ln_free(struct ln *ln);
 
 #endif
--- a/src/connection/localhttp.c
+++ b/src/connection/localhttp.c
@@ -68,7 +68,7 @@
 }
 
 static void
-on_read(SoupServer *server, SoupServerMessage *msg, const char *path,
+on_get(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, gpointer data)
 {
 	struct lh *lh = data;
@@ -97,7 +97,7 @@
 	}
 }
 
-/* A body that will be refused is not stored. */
+/* Refuses a body that is too large before it is received. */
 static void
 on_headers(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, gpointer data)
@@ -113,7 +113,7 @@
 	    "a body needs Content-Length and is at most 64 KB");
 }
 
-/* Binds the address and serves from the main loop. */
+/* Requests are handled in the main loop. */
 struct lh *
 lh_new(const struct lh_options *opts, struct status *st)
 {
@@ -124,7 +124,7 @@
 	lh->server = soup_server_new(NULL, NULL);
 	soup_server_add_handler(
 	    lh->server, "/v1/announce", on_announce, lh, NULL);
-	soup_server_add_handler(lh->server, NULL, on_read, lh, NULL);
+	soup_server_add_handler(lh->server, NULL, on_get, lh, NULL);
 	soup_server_add_early_handler(lh->server, NULL, on_headers, lh, NULL);
 	soup_server_add_early_handler(
 	    lh->server, "/v1/announce", on_headers, lh, NULL);
@@ -136,7 +136,6 @@
 	return lh;
 }
 
-/* Closes the listener. */
 void
 lh_free(struct lh *lh)
 {
--- a/src/connection/localhttp.h
+++ b/src/connection/localhttp.h
@@ -14,12 +14,12 @@
 	struct ann *ann;
 	const struct ctr_registry *counters;
 	const struct trc_ring *traces;
-	uint32_t (*running)(void *ctx); /* calls open to the endpoint */
-	void (*changed)(void *ctx);	/* the announcement was changed */
+	uint32_t (*running)(void *ctx); /* number of calls to the endpoint */
+	void (*changed)(void *ctx);	/* the announcement has changed */
 	void *ctx;
 };
 
-/* NULL when the address can't be bound, with the reason in st. */
+/* Returns NULL, with the reason in st, when the address can't be bound. */
 struct lh *lh_new(const struct lh_options *opts, struct status *st);
 void lh_free(struct lh *lh);
 
--- a/src/connection/peerlink.c
+++ b/src/connection/peerlink.c
@@ -5,7 +5,7 @@
 #include "process/log.h"
 #include "request/refusal.h"
 
-#define FORWARD_MARGIN_MS 5000 /* beyond the wait that the caller asked for */
+#define FORWARD_MARGIN_MS 5000 /* added to the wait that the caller asked for */
 
 /* One outgoing connection. */
 struct peer {
@@ -20,24 +20,24 @@
 struct inbound {
 	struct pl_set *set;
 	struct rpc_conn *conn;
-	GPtrArray *jobs; /* struct served, not answered yet */
+	GPtrArray *jobs; /* unanswered struct inbound_job */
 };
 
-/* A forwarded request that this entry works on. */
-struct served {
+/* A request that the peer forwarded to this entry. */
+struct inbound_job {
 	struct inbound *in;
 	uint32_t xid;
 	void *job;
 };
 
-/* A request that was forwarded to a peer. */
+/* A request that this entry forwarded to a peer. */
 struct forwarded {
 	pl_answer_fn fn;
 	void *ctx;
 };
 
-/* A PEER_STATUS that has not been answered. */
-struct asked {
+/* An unanswered PEER_STATUS. */
+struct status_request {
 	struct pl_set *set;
 	int64_t sent_ms;
 };
@@ -48,7 +48,7 @@
 	GHashTable *inbounds; /* set of struct inbound */
 	guint tick_id;
 	int64_t *connected;
-	int64_t *served;
+	int64_t *jobs_received;
 };
 
 static void
@@ -72,7 +72,7 @@
 	g_free(peer);
 }
 
-/* Runs when the address is no longer wanted. */
+/* Called when the address is removed from the targets. */
 static void
 remove_peer(gpointer data)
 {
@@ -106,7 +106,8 @@
 }
 
 static void
-on_hello(struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
+on_hello_reply(
+    struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
 {
 	struct peer *peer = ctx;
 	wire_peer_hello_result result;
@@ -125,7 +126,7 @@
 }
 
 static void
-greet(struct peer *peer, GSocketConnection *socket)
+send_hello(struct peer *peer, GSocketConnection *socket)
 {
 	const struct pl_options *opts = &peer->set->opts;
 	struct rpc_options options = {
@@ -140,12 +141,12 @@
 	    .entry = *opts->self,
 	};
 
-	/* The timeout of the client is for connecting only. */
+	/* The timeout inherited from the client applies to connecting only. */
 	g_socket_set_timeout(g_socket_connection_get_socket(socket), 0);
 	peer->conn = rpc_new(&options);
 	if (!rpc_request(peer->conn, WIRE_PEER_HELLO,
 		(xdrproc_t)xdr_wire_peer_hello_args, &args, opts->silence_ms,
-		on_hello, peer))
+		on_hello_reply, peer))
 		rpc_close(peer->conn, ST_INTERNAL, "PEER_HELLO was not sent");
 }
 
@@ -161,7 +162,7 @@
 	if (peer->set == NULL)
 		free_peer(peer);
 	else if (socket != NULL)
-		greet(peer, socket);
+		send_hello(peer, socket);
 	g_clear_object(&socket);
 }
 
@@ -183,39 +184,41 @@
 }
 
 static void
-on_status(struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
+on_status_reply(
+    struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
 {
-	struct asked *asked = ctx;
-	struct pl_set *set = asked->set;
+	struct status_request *status_request = ctx;
+	struct pl_set *set = status_request->set;
 	wire_peer_status_result result;
 
 	memset(&result, 0, sizeof(result));
 	if (st->code == ST_OK) {
 		if (xdr_wire_peer_status_result(xdrs, &result))
 			set->opts.on_status(
-			    &result, asked->sent_ms, set->opts.ctx);
+			    &result, status_request->sent_ms, set->opts.ctx);
 		else
 			rpc_close(conn, ST_INVALID, "malformed PEER_STATUS");
 		xdr_free((xdrproc_t)xdr_wire_peer_status_result, &result);
 	}
-	g_free(asked);
+	g_free(status_request);
 }
 
 static void
-ask_status(struct peer *peer)
+request_status(struct peer *peer)
 {
 	const struct pl_options *opts = &peer->set->opts;
 	wire_peer_status_args args = {
 	    .config_version = opts->version_held(opts->ctx),
 	};
-	struct asked *asked = g_new0(struct asked, 1);
+	struct status_request *status_request =
+	    g_new0(struct status_request, 1);
 
-	asked->set = peer->set;
-	asked->sent_ms = clk_now_ms();
+	status_request->set = peer->set;
+	status_request->sent_ms = clk_now_ms();
 	if (!rpc_request(peer->conn, WIRE_PEER_STATUS,
 		(xdrproc_t)xdr_wire_peer_status_args, &args, opts->silence_ms,
-		on_status, asked))
-		g_free(asked);
+		on_status_reply, status_request))
+		g_free(status_request);
 }
 
 static gboolean
@@ -232,12 +235,11 @@
 		if (peer->conn == NULL && peer->connecting == NULL)
 			dial(peer);
 		else if (peer->incarnation != 0)
-			ask_status(peer);
+			request_status(peer);
 	}
 	return G_SOURCE_CONTINUE;
 }
 
-/* Makes a set without peers. */
 struct pl_set *
 pl_set_new(const struct pl_options *opts)
 {
@@ -249,13 +251,12 @@
 	set->inbounds = g_hash_table_new(NULL, NULL);
 	set->connected = ctr_gauge(opts->counters, "sp_peers_connected",
 	    "outgoing connections to other entries");
-	set->served = ctr_counter(opts->counters, "sp_peer_jobs_total",
+	set->jobs_received = ctr_counter(opts->counters, "sp_peer_jobs_total",
 	    "job requests received from other entries");
 	set->tick_id = g_timeout_add((guint)opts->status_ms, on_tick, set);
 	return set;
 }
 
-/* Replaces the list of addresses to dial. */
 void
 pl_set_targets(struct pl_set *set, const char *const *addresses, size_t n)
 {
@@ -302,7 +303,6 @@
 	return NULL;
 }
 
-/* Reports whether requests can be forwarded to an incarnation. */
 bool
 pl_is_connected(const struct pl_set *set, uint64_t incarnation)
 {
@@ -310,7 +310,7 @@
 }
 
 static void
-on_job_answer(
+on_job_reply(
     struct rpc_conn *conn, const struct status *st, XDR *xdrs, void *ctx)
 {
 	struct forwarded *fwd = ctx;
@@ -330,7 +330,6 @@
 	g_free(fwd);
 }
 
-/* Sends a request about a job to the entry that owns it. */
 bool
 pl_forward(struct pl_set *set, uint64_t incarnation, wire_peer_job_args *args,
     pl_answer_fn fn, void *ctx)
@@ -345,7 +344,7 @@
 	fwd->ctx = ctx;
 	if (rpc_request(peer->conn, WIRE_PEER_JOB,
 		(xdrproc_t)xdr_wire_peer_job_args, args,
-		args->wait_ms + FORWARD_MARGIN_MS, on_job_answer, fwd))
+		args->wait_ms + FORWARD_MARGIN_MS, on_job_reply, fwd))
 		return true;
 	g_free(fwd);
 	return false;
@@ -358,10 +357,10 @@
 	guint i;
 
 	for (i = 0; i < in->jobs->len; i++) {
-		struct served *served = in->jobs->pdata[i];
+		struct inbound_job *inbound_job = in->jobs->pdata[i];
 
-		opts->cancel_job(served->job, opts->ctx);
-		g_free(served);
+		opts->cancel_job(inbound_job->job, opts->ctx);
+		g_free(inbound_job);
 	}
 	g_ptr_array_unref(in->jobs);
 	rpc_detach(in->conn);
@@ -387,7 +386,7 @@
 	wire_peer_job_result result;
 	char *refusal = NULL;
 
-	if (len > PL_MAX_BODY) {
+	if (len > PL_MAX_BODY_BYTES) {
 		refusal = ref_json(REF_ANSWER_NOT_FORWARDED,
 		    "the answer is kept by the entry that owns the job");
 		status = ref_http_status(REF_ANSWER_NOT_FORWARDED);
@@ -402,14 +401,14 @@
 }
 
 static void
-on_served(uint32_t status, const char *body, size_t len, void *ctx)
+on_job_done(uint32_t status, const char *body, size_t len, void *ctx)
 {
-	struct served *served = ctx;
-	struct inbound *in = served->in;
+	struct inbound_job *inbound_job = ctx;
+	struct inbound *in = inbound_job->in;
 
-	g_ptr_array_remove_fast(in->jobs, served);
-	send_answer(in->conn, served->xid, status, body, len);
-	g_free(served);
+	g_ptr_array_remove_fast(in->jobs, inbound_job);
+	send_answer(in->conn, inbound_job->xid, status, body, len);
+	g_free(inbound_job);
 }
 
 static void
@@ -417,7 +416,7 @@
 {
 	const struct pl_options *opts = &in->set->opts;
 	wire_peer_job_args args;
-	struct served *served;
+	struct inbound_job *inbound_job;
 	void *job;
 
 	memset(&args, 0, sizeof(args));
@@ -425,14 +424,14 @@
 		rpc_close(in->conn, ST_INVALID, "malformed PEER_JOB");
 		goto out;
 	}
-	(*in->set->served)++;
-	served = g_new0(struct served, 1);
-	served->in = in;
-	served->xid = call->xid;
-	g_ptr_array_add(in->jobs, served);
-	job = opts->on_job(&args, on_served, served, opts->ctx);
-	if (job != NULL) /* else on_served() has freed it */
-		served->job = job;
+	(*in->set->jobs_received)++;
+	inbound_job = g_new0(struct inbound_job, 1);
+	inbound_job->in = in;
+	inbound_job->xid = call->xid;
+	g_ptr_array_add(in->jobs, inbound_job);
+	job = opts->on_job(&args, on_job_done, inbound_job, opts->ctx);
+	if (job != NULL) /* otherwise on_job_done() freed inbound_job */
+		inbound_job->job = job;
 out:
 	xdr_free((xdrproc_t)xdr_wire_peer_job_args, &args);
 }
@@ -471,9 +470,9 @@
 }
 
 static bool
-is_welcome(const struct pl_set *set, const wire_peer_hello_args *args)
+is_accepted(const struct pl_set *set, const wire_peer_hello_args *args)
 {
-	/* Compared by digest, so that the time tells nothing about the key. */
+	/* Digests are compared so that the timing does not reveal the key. */
 	char *want = g_compute_checksum_for_string(
 	    G_CHECKSUM_SHA256, set->opts.cluster_key, -1);
 	char *got =
@@ -488,7 +487,7 @@
 }
 
 static void
-welcome(struct pl_set *set, struct rpc_conn *conn, uint32_t xid)
+accept_peer(struct pl_set *set, struct rpc_conn *conn, uint32_t xid)
 {
 	wire_peer_hello_result result = {
 	    .accepted = TRUE,
@@ -504,7 +503,6 @@
 	rpc_reply(conn, xid, (xdrproc_t)xdr_wire_peer_hello_result, &result);
 }
 
-/* Checks a PEER_HELLO and takes over its connection, or closes it. */
 void
 pl_accept(
     struct pl_set *set, struct rpc_conn *conn, const struct rpc_call *hello)
@@ -516,17 +514,17 @@
 	    !xdr_wire_peer_hello_args(hello->args, &args))
 		rpc_close(
 		    conn, ST_INVALID, "first call is not a valid PEER_HELLO");
-	else if (!is_welcome(set, &args))
+	else if (!is_accepted(set, &args))
 		rpc_close(conn, ST_INVALID,
 		    "wrong cluster key, own incarnation or too many peers");
 	else
-		welcome(set, conn, hello->xid);
+		accept_peer(set, conn, hello->xid);
 	xdr_free((xdrproc_t)xdr_wire_peer_hello_args, &args);
 }
 
 /*
- * Closes every connection.  Requests forwarded to peers stay without an
- * answer, so none may be in progress.
+ * Closes every connection.  No forwarded request may be in progress, since its
+ * callback would not run.
  */
 void
 pl_set_free(struct pl_set *set)
--- a/src/connection/rpc.c
+++ b/src/connection/rpc.c
@@ -5,18 +5,21 @@
 #include "connection/rpc.h"
 #include "process/clock.h"
 
-#define LAST_FRAGMENT	   0x80000000U
-#define MARK_BYTES	   4
-#define CALL_HEADER_BYTES  40 /* call with null credentials */
-#define REPLY_HEADER_BYTES 64
-#define READ_CHUNK_BYTES   65536
-#define READS_PER_WAKEUP   16 /* lets other connections of the loop run */
-#define TICK_MS		   100
-#define DEFAULT_RECORD_MAX (4 * 1024 * 1024 + 65536)
-#define DEFAULT_QUEUE_MAX  (64 * 1024 * 1024)
-/* A HELLO is far smaller; unknown peers must not fill the memory. */
-#define FIRST_RECORD_MAX    65536
-#define RPC_PROGRAM_VERSION 1
+#define LAST_FRAGMENT		 0x80000000U
+#define MARK_BYTES		 4
+#define CALL_HEADER_BYTES	 40 /* call with null credentials */
+#define REPLY_HEADER_BYTES	 64
+#define SOCKET_READ_BYTES	 65536
+#define READS_PER_WAKEUP	 16 /* lets other connections of the loop run */
+#define TIMEOUT_CHECK_MS	 100
+#define DEFAULT_RECORD_MAX_BYTES (4 * 1024 * 1024 + 65536)
+#define DEFAULT_QUEUE_MAX_BYTES	 (64 * 1024 * 1024)
+/*
+ * Limit until the first call, far above the size of a HELLO: peers that are not
+ * authenticated yet must not be able to fill the memory.
+ */
+#define FIRST_RECORD_MAX_BYTES 65536
+#define RPC_PROGRAM_VERSION    1
 
 struct pending {
 	rpc_reply_fn on_reply;
@@ -35,7 +38,7 @@
 	bool open;
 	bool detached;
 	struct status why;
-	GByteArray *in;	    /* bytes received and not yet parsed */
+	GByteArray *in;	    /* received bytes that are not parsed yet */
 	GByteArray *record; /* fragments of the record being read */
 	GByteArray *out;
 	size_t out_pos;
@@ -46,25 +49,24 @@
 	GHashTable *pending; /* xid -> struct pending */
 };
 
-/* Of all connections of this process; each process has one main loop. */
+/* Over all connections of the process, which has a single main loop. */
 static struct {
 	int64_t bytes_in, bytes_out, records_in, records_out;
 } totals;
 
-static GPtrArray *open_conns; /* struct rpc_conn, not referenced */
-static guint tick_id;	      /* runs while any connection is open */
+static GPtrArray *open_conns;  /* struct rpc_conn, not referenced */
+static guint timeout_check_id; /* runs while any connection is open */
 
 static void
-stop_ticks(struct rpc_conn *conn)
+unwatch_timeouts(struct rpc_conn *conn)
 {
 	g_ptr_array_remove_fast(open_conns, conn);
 	if (open_conns->len > 0)
 		return;
-	g_clear_handle_id(&tick_id, g_source_remove);
+	g_clear_handle_id(&timeout_check_id, g_source_remove);
 	g_clear_pointer(&open_conns, g_ptr_array_unref);
 }
 
-/* Copies the totals of all connections of this process to its counters. */
 void
 rpc_export(struct ctr_registry *reg)
 {
@@ -78,7 +80,6 @@
 	    totals.records_out;
 }
 
-/* Adds a reference. */
 struct rpc_conn *
 rpc_ref(struct rpc_conn *conn)
 {
@@ -86,14 +87,14 @@
 	return conn;
 }
 
-/* Drops a reference; the last one frees the connection. */
+/* Dropping the last reference closes the connection without callbacks. */
 void
 rpc_unref(struct rpc_conn *conn)
 {
 	if (--conn->refs > 0)
 		return;
 	if (conn->open) {
-		stop_ticks(conn);
+		unwatch_timeouts(conn);
 		g_io_stream_close(G_IO_STREAM(conn->stream), NULL, NULL);
 	}
 	g_clear_handle_id(&conn->closed_id, g_source_remove);
@@ -157,10 +158,6 @@
 	return G_SOURCE_REMOVE;
 }
 
-/*
- * Closes the socket at once.  Replies still awaited fail and on_closed runs
- * from the main loop, so that a caller is never re-entered.
- */
 void
 rpc_close(struct rpc_conn *conn, enum st_code code, const char *why)
 {
@@ -170,16 +167,12 @@
 	st_set(&conn->why, code, "%s", why);
 	clear_source(&conn->read_source);
 	clear_source(&conn->write_source);
-	stop_ticks(conn);
+	unwatch_timeouts(conn);
 	g_io_stream_close(G_IO_STREAM(conn->stream), NULL, NULL);
 	conn->closed_id = g_idle_add_full(
 	    G_PRIORITY_DEFAULT, deliver_closed, rpc_ref(conn), NULL);
 }
 
-/*
- * Closes the connection and drops every callback, for an owner that is about
- * to free its context.
- */
 void
 rpc_detach(struct rpc_conn *conn)
 {
@@ -190,10 +183,6 @@
 	conn->opts.on_closed = NULL;
 }
 
-/*
- * Replaces the callbacks and their context, once the first call has shown
- * who the peer is.
- */
 void
 rpc_set_owner(struct rpc_conn *conn, rpc_call_fn on_call,
     rpc_closed_fn on_closed, void *ctx)
@@ -203,21 +192,18 @@
 	conn->opts.ctx = ctx;
 }
 
-/* Reports whether the connection can still send. */
 bool
 rpc_is_open(const struct rpc_conn *conn)
 {
 	return conn->open;
 }
 
-/* Returns the milliseconds since the last byte arrived. */
 int64_t
-rpc_silent_ms(const struct rpc_conn *conn)
+rpc_idle_ms(const struct rpc_conn *conn)
 {
 	return clk_now_ms() - conn->last_input_ms;
 }
 
-/* Returns the number of bytes queued for sending since the start. */
 uint64_t
 rpc_bytes_out(const struct rpc_conn *conn)
 {
@@ -269,7 +255,7 @@
 	}
 	if (!g_hash_table_steal_extended(
 		conn->pending, GUINT_TO_POINTER(xid), NULL, &value))
-		return; /* timed out before */
+		return; /* the request has timed out */
 	p = value;
 	if (msg.rm_reply.rp_stat != MSG_ACCEPTED ||
 	    msg.acpted_rply.ar_stat != SUCCESS)
@@ -311,7 +297,7 @@
 record_limit(const struct rpc_conn *conn)
 {
 	return conn->opts.first_call_ms > 0
-		   ? MIN(conn->opts.max_record_bytes, FIRST_RECORD_MAX)
+		   ? MIN(conn->opts.max_record_bytes, FIRST_RECORD_MAX_BYTES)
 		   : conn->opts.max_record_bytes;
 }
 
@@ -329,7 +315,7 @@
 	mark = ntohl(mark);
 	last = (mark & LAST_FRAGMENT) != 0;
 	len = mark & ~LAST_FRAGMENT;
-	/* Empty fragments carry nothing but would keep the connection busy. */
+	/* A peer could keep the process busy with empty fragments. */
 	if (len == 0 ||
 	    (uint64_t)conn->record->len + len > record_limit(conn)) {
 		rpc_close(conn, ST_INVALID, "record length out of range");
@@ -375,9 +361,9 @@
 	(void)condition;
 	for (i = 0; i < READS_PER_WAKEUP && conn->open; i++) {
 		used = conn->in->len;
-		g_byte_array_set_size(conn->in, used + READ_CHUNK_BYTES);
+		g_byte_array_set_size(conn->in, used + SOCKET_READ_BYTES);
 		n = g_socket_receive_with_blocking(socket,
-		    (char *)conn->in->data + used, READ_CHUNK_BYTES, FALSE,
+		    (char *)conn->in->data + used, SOCKET_READ_BYTES, FALSE,
 		    NULL, &error);
 		g_byte_array_set_size(conn->in, used + (n > 0 ? n : 0));
 		if (n <= 0)
@@ -385,7 +371,7 @@
 		conn->last_input_ms = clk_now_ms();
 		totals.bytes_in += n;
 		parse_input(conn);
-		if (n < READ_CHUNK_BYTES)
+		if (n < SOCKET_READ_BYTES)
 			break;
 	}
 	if (error != NULL) {
@@ -441,7 +427,7 @@
 			break;
 		conn->out_pos += n;
 	}
-	/* A peer that is never quite done reading must not grow the buffer. */
+	/* A slow peer may never empty the buffer, so sent bytes are removed. */
 	if (conn->out_pos > conn->out->len / 2) {
 		g_byte_array_remove_range(conn->out, 0, conn->out_pos);
 		conn->out_pos = 0;
@@ -456,7 +442,7 @@
 	}
 }
 
-/* Appends one record, whose header is already encoded by the caller. */
+/* Queues a record for output; its first MARK_BYTES bytes are set here. */
 static bool
 queue_record(struct rpc_conn *conn, char *record, u_int len)
 {
@@ -506,22 +492,12 @@
 	return ok;
 }
 
-/*
- * Sends a call that has no reply (batching, RFC 5531 section 8).  Returns
- * false when it was not queued: the connection is closed, or the arguments
- * are invalid or larger than a record.
- */
 bool
 rpc_send(struct rpc_conn *conn, uint32_t proc, xdrproc_t encode, void *args)
 {
 	return send_call(conn, conn->next_xid++, proc, encode, args);
 }
 
-/*
- * Sends a call and runs on_reply once: with the reply, with ST_TIMEOUT after
- * timeout_ms, or with the reason when the connection closes.  Returns false,
- * without a callback, when the call was not queued.
- */
 bool
 rpc_request(struct rpc_conn *conn, uint32_t proc, xdrproc_t encode, void *args,
     int64_t timeout_ms, rpc_reply_fn on_reply, void *ctx)
@@ -539,7 +515,6 @@
 	return true;
 }
 
-/* Sends the reply to a call; returns false when it could not be queued. */
 bool
 rpc_reply(struct rpc_conn *conn, uint32_t xid, xdrproc_t encode, void *result)
 {
@@ -568,7 +543,6 @@
 	return ok;
 }
 
-/* Answers a call with an RPC error such as PROC_UNAVAIL or GARBAGE_ARGS. */
 void
 rpc_reply_error(struct rpc_conn *conn, uint32_t xid, enum accept_stat stat)
 {
@@ -598,7 +572,7 @@
 	return p->deadline_ms <= *(int64_t *)data;
 }
 
-/* Runs the callback of one expired request; returns false when none is left. */
+/* Fails one request that has timed out; returns false when there is none. */
 static bool
 expire_one(struct rpc_conn *conn, int64_t now_ms)
 {
@@ -622,25 +596,25 @@
 }
 
 static void
-tick(struct rpc_conn *conn, int64_t now_ms)
+check_timeouts(struct rpc_conn *conn, int64_t now_ms)
 {
 	while (conn->open && expire_one(conn, now_ms))
 		continue;
 	if (conn->open && conn->opts.silence_ms > 0 &&
 	    now_ms - conn->last_input_ms > conn->opts.silence_ms)
 		rpc_close(conn, ST_TIMEOUT, "no input from the peer");
-	/* Input that never becomes a call would hold the connection. */
+	/* Otherwise input that completes no call would keep it open. */
 	if (conn->open && conn->opts.first_call_ms > 0 &&
 	    now_ms - conn->opened_ms > conn->opts.first_call_ms)
 		rpc_close(conn, ST_TIMEOUT, "no call from the peer");
 }
 
 /*
- * Timeouts of all open connections are checked by one timer.  With a timer
- * each, an idle entry woke up 10 times a second for every agent.
+ * One timer checks the timeouts of all open connections.  With a timer per
+ * connection, an idle entry woke up 10 times per second for each agent.
  */
 static gboolean
-on_tick(gpointer data)
+on_timeout_check(gpointer data)
 {
 	GPtrArray *conns = g_ptr_array_sized_new(open_conns->len);
 	int64_t now_ms = clk_now_ms();
@@ -650,27 +624,25 @@
 	for (i = 0; i < open_conns->len; i++)
 		g_ptr_array_add(conns, rpc_ref(open_conns->pdata[i]));
 	for (i = 0; i < conns->len; i++) {
-		tick(conns->pdata[i], now_ms);
+		check_timeouts(conns->pdata[i], now_ms);
 		rpc_unref(conns->pdata[i]);
 	}
 	g_ptr_array_unref(conns);
-	return G_SOURCE_CONTINUE; /* removed by then when none is open */
+	return G_SOURCE_CONTINUE; /* the last close removes the timer */
 }
 
 static void
-start_ticks(struct rpc_conn *conn)
+watch_timeouts(struct rpc_conn *conn)
 {
 	if (open_conns == NULL)
 		open_conns = g_ptr_array_new();
 	g_ptr_array_add(open_conns, conn);
-	if (tick_id == 0)
-		tick_id = g_timeout_add(TICK_MS, on_tick, NULL);
+	if (timeout_check_id == 0)
+		timeout_check_id =
+		    g_timeout_add(TIMEOUT_CHECK_MS, on_timeout_check, NULL);
 }
 
-/*
- * Takes over a connected socket and starts reading.  The caller holds the
- * first reference.
- */
+/* The caller owns the first reference. */
 struct rpc_conn *
 rpc_new(const struct rpc_options *opts)
 {
@@ -679,9 +651,9 @@
 	conn->refs = 1;
 	conn->opts = *opts;
 	if (conn->opts.max_record_bytes == 0)
-		conn->opts.max_record_bytes = DEFAULT_RECORD_MAX;
+		conn->opts.max_record_bytes = DEFAULT_RECORD_MAX_BYTES;
 	if (conn->opts.max_queue_bytes == 0)
-		conn->opts.max_queue_bytes = DEFAULT_QUEUE_MAX;
+		conn->opts.max_queue_bytes = DEFAULT_QUEUE_MAX_BYTES;
 	conn->stream = g_object_ref(opts->socket);
 	conn->socket = g_socket_connection_get_socket(conn->stream);
 	g_socket_set_blocking(conn->socket, FALSE);
@@ -698,6 +670,6 @@
 	g_source_set_callback(
 	    conn->read_source, G_SOURCE_FUNC(on_readable), conn, NULL);
 	g_source_attach(conn->read_source, g_main_context_get_thread_default());
-	start_ticks(conn);
+	watch_timeouts(conn);
 	return conn;
 }
--- a/src/connection/run.x
+++ b/src/connection/run.x
@@ -1,7 +1,7 @@
 /*
  * Messages between an entry and the agents of workers that run tasks under
- * leases (RUN_PROG).  The entry connects.  Every call goes without a reply.
- * Times are milliseconds; sizes are those of request/work.h.
+ * leases (RUN_PROG).  The entry connects.  No call has a reply.  Times are
+ * milliseconds; sizes are those of request/work.h.
  */
 
 const RUN_NAME_MAX = 256;
@@ -32,7 +32,7 @@
 	run_size size;
 	uint32_t priority;	/* 0 first */
 	int64_t expected_ms;	/* run time on this worker */
-	int64_t start_within_ms;	/* refused when it has not started by then */
+	int64_t start_within_ms;	/* not started later than this */
 };
 
 typedef string run_spec<RUN_SPEC_MAX>;
@@ -43,18 +43,18 @@
 	run_start starts<RUN_BATCH_MAX>;
 };
 
-/* The outcome of each of these is no longer wanted. */
+/* Withdraws starts: tasks not started yet are dropped, others are stopped. */
 struct run_cancel_args {
 	uint64_t seqs<RUN_BATCH_MAX>;
 };
 
-/* Heartbeat of the entry, with the failure domains that are out. */
+/* Heartbeat of the entry, with the failure domains taken out of service. */
 struct run_beat_args {
 	int64_t revision;	/* of the configuration, 0: none yet */
 	run_name out<RUN_DOMAINS_MAX>;
 };
 
-/* The agent's worker; sent first and when it changes. */
+/* Describes the agent's worker; sent first, and again when it changes. */
 struct run_worker_args {
 	uint64_t incarnation;	/* 0: no worker */
 	bool draining;
@@ -66,24 +66,24 @@
 
 enum run_outcome {
 	RUN_DONE = 0,
-	RUN_FAILED = 1,		/* of its own or by a fault of the worker */
-	RUN_NOT_STARTED = 2,	/* proved not to have started */
-	RUN_LOST = 3,		/* may have started; does not run any more */
+	RUN_FAILED = 1,		/* failure of the task or of the worker */
+	RUN_NOT_STARTED = 2,	/* certainly not started */
+	RUN_LOST = 3,		/* does not run any more; outcome unknown */
 	RUN_STALLED = 4		/* stopped: no progress, or far too slow */
 };
 
 struct run_result {
 	uint64_t seq;
 	run_outcome outcome;
-	int64_t run_ms;		/* as run, or projected; 0: unknown */
+	int64_t run_ms;		/* projected if RUN_STALLED; 0: unknown */
 	run_name reason;
 };
 
-/* Results, and the room of the worker after them. */
+/* Results, and the free capacity of the worker after them. */
 struct run_update_args {
 	run_result results<RUN_BATCH_MAX>;
 	run_size free;		/* negative when starts are queued */
-	bool accepting;
+	bool accepting;		/* whether starts are accepted */
 };
 
 program RUN_PROG {
--- a/src/connection/sessions.c
+++ b/src/connection/sessions.c
@@ -5,14 +5,14 @@
 #include "connection/sessions.h"
 #include "process/clock.h"
 
-#define BACKLOG 256
+#define ENTRY_BACKLOG 256
 
 struct session {
 	struct ses *ses;
 	uint64_t id;
 	struct rpc_conn *conn;
-	int64_t input_ms;
-	bool named;
+	int64_t last_input_ms;
+	bool identified; /* RUN_OPEN was received */
 };
 
 struct ses {
@@ -44,21 +44,21 @@
 	struct session *s = ctx;
 	struct ses *ses = s->ses;
 	uint64_t id = s->id;
-	bool named = s->named;
+	bool identified = s->identified;
 
 	(void)conn;
 	g_hash_table_remove(ses->sessions, &id);
-	if (named)
+	if (identified)
 		ses->opts.closed(id, why, ses->opts.ctx);
 }
 
 static void
-take_open(struct session *s, XDR *xdrs)
+handle_open(struct session *s, XDR *xdrs)
 {
 	run_open_args args = {0};
 
-	if (!s->named && xdr_run_open_args(xdrs, &args)) {
-		s->named = true;
+	if (!s->identified && xdr_run_open_args(xdrs, &args)) {
+		s->identified = true;
 		s->ses->opts.opened(s->id, args.entry, s->ses->opts.ctx);
 	} else {
 		rpc_close(s->conn, ST_INVALID, "malformed opening call");
@@ -67,7 +67,7 @@
 }
 
 static void
-take_start(struct session *s, XDR *xdrs)
+handle_start(struct session *s, XDR *xdrs)
 {
 	run_start_args args = {0};
 
@@ -79,7 +79,7 @@
 }
 
 static void
-take_cancel(struct session *s, XDR *xdrs)
+handle_cancel(struct session *s, XDR *xdrs)
 {
 	run_cancel_args args = {0};
 
@@ -91,7 +91,7 @@
 }
 
 static void
-take_beat(struct session *s, XDR *xdrs)
+handle_heartbeat(struct session *s, XDR *xdrs)
 {
 	run_beat_args args = {0};
 
@@ -103,16 +103,17 @@
 }
 
 /*
- * What waited in the socket while this process was paused, or the network
- * was cut, is of unknown age: the entry gave the session up meanwhile.
+ * Whether input comes after a gap in which the entry may have given up the
+ * session.  Calls that were buffered while this process was suspended or the
+ * network was down are of unknown age and must not be executed.
  */
 static bool
-is_late(struct session *s)
+is_input_stale(struct session *s)
 {
 	int64_t now_ms = clk_now_ms();
-	bool late = now_ms - s->input_ms > s->ses->opts.silence_ms;
+	bool late = now_ms - s->last_input_ms > s->ses->opts.silence_ms;
 
-	s->input_ms = now_ms;
+	s->last_input_ms = now_ms;
 	return late;
 }
 
@@ -121,26 +122,26 @@
 {
 	struct session *s = ctx;
 
-	if (is_late(s)) {
+	if (is_input_stale(s)) {
 		rpc_close(conn, ST_TIMEOUT, "input after too long a silence");
 		return;
 	}
-	if (!s->named && call->proc != RUN_OPEN) {
+	if (!s->identified && call->proc != RUN_OPEN) {
 		rpc_close(conn, ST_INVALID, "call before the opening call");
 		return;
 	}
 	switch (call->proc) {
 	case RUN_OPEN:
-		take_open(s, call->args);
+		handle_open(s, call->args);
 		break;
 	case RUN_START:
-		take_start(s, call->args);
+		handle_start(s, call->args);
 		break;
 	case RUN_CANCEL:
-		take_cancel(s, call->args);
+		handle_cancel(s, call->args);
 		break;
 	case RUN_BEAT:
-		take_beat(s, call->args);
+		handle_heartbeat(s, call->args);
 		break;
 	default:
 		rpc_close(conn, ST_INVALID, "unknown procedure");
@@ -166,7 +167,7 @@
 	(void)source;
 	s->ses = ses;
 	s->id = ++ses->next_id;
-	s->input_ms = clk_now_ms();
+	s->last_input_ms = clk_now_ms();
 	s->conn = rpc_new(&opts);
 	g_hash_table_insert(ses->sessions, &s->id, s);
 	return TRUE;
@@ -181,7 +182,8 @@
 
 	if (address == NULL)
 		return false;
-	g_socket_listener_set_backlog(G_SOCKET_LISTENER(ses->service), BACKLOG);
+	g_socket_listener_set_backlog(
+	    G_SOCKET_LISTENER(ses->service), ENTRY_BACKLOG);
 	ok = g_socket_listener_add_address(G_SOCKET_LISTENER(ses->service),
 	    address, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL, NULL,
 	    &error);
@@ -196,7 +198,7 @@
 	return ok;
 }
 
-/* Binds the address and accepts entries from the main loop. */
+/* Binds the address; connections are accepted from the main loop. */
 struct ses *
 ses_new(const struct ses_options *opts, struct status *st)
 {
@@ -213,7 +215,7 @@
 	return ses;
 }
 
-/* Closes every session; no callback runs. */
+/* Closes every session without running its callbacks. */
 void
 ses_free(struct ses *ses)
 {
@@ -231,7 +233,8 @@
 {
 	const struct session *s = find(ses, id);
 
-	return s != NULL && clk_now_ms() - s->input_ms <= ses->opts.silence_ms;
+	return s != NULL &&
+	       clk_now_ms() - s->last_input_ms <= ses->opts.silence_ms;
 }
 
 bool
@@ -255,7 +258,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct session *s = value;
 
-		if (s->named)
+		if (s->identified)
 			ids[(*n)++] = s->id;
 	}
 	return ids;
--- a/src/connection/sessions.h
+++ b/src/connection/sessions.h
@@ -8,14 +8,14 @@
 #include "process/status.h"
 
 /*
- * The agent's side of the entries that connect to it.  A session is one
- * connection; its runs end with it.
+ * The agent's listener for entries that run tasks under leases.  A session is
+ * one connection of an entry; when it closes, its runs are stopped.
  */
 struct ses;
 
 struct ses_options {
 	const char *listen; /* "ip:port" */
-	int64_t silence_ms; /* a session without input for this long ends */
+	int64_t silence_ms; /* a session without input for this long closes */
 	void (*opened)(uint64_t session, const char *entry, void *ctx);
 	void (*closed)(uint64_t session, const struct status *why, void *ctx);
 	void (*start)(
@@ -30,11 +30,11 @@
 struct ses *ses_new(const struct ses_options *opts, struct status *st);
 void ses_free(struct ses *ses);
 
-/* Whether the entry was heard recently enough for a start now. */
+/* Whether input came within silence_ms, so that starts may be executed. */
 bool ses_is_live(const struct ses *ses, uint64_t session);
 bool ses_send(struct ses *ses, uint64_t session, uint32_t proc,
     xdrproc_t encode, void *args);
-/* Ids of the open sessions, owned by the caller. */
+/* Ids of the sessions whose entry has sent RUN_OPEN; freed by the caller. */
 uint64_t *ses_ids(const struct ses *ses, uint32_t *n);
 
 #endif
--- a/src/connection/wire.x
+++ b/src/connection/wire.x
@@ -18,13 +18,13 @@
 typedef string wire_address<WIRE_ADDRESS_MAX>;
 typedef opaque wire_payload<WIRE_PAYLOAD_MAX>;
 
-/* Load of one agent as of the moment of sending. */
+/* Load of one agent when the message was sent. */
 struct wire_load {
 	uint32_t slots;
 	uint32_t busy;
 	uint32_t queued;
 	bool draining;
-	uint64_t received_seq;		/* highest of the addressed entry */
+	uint64_t received_seq;		/* highest start seq from this entry */
 };
 
 struct wire_member {
@@ -34,11 +34,11 @@
 	wire_address address;
 };
 
-/* What an entry says about the configuration. */
+/* The configuration held by an entry. */
 struct wire_config {
 	uint64_t config_version;
-	int64_t age_ms;			/* since last confirmed, -1 unknown */
-	opaque document<WIRE_DOCUMENT_MAX>;	/* empty: not newer */
+	int64_t age_ms;		/* since confirmed as the newest; -1: never */
+	opaque document<WIRE_DOCUMENT_MAX>;	/* empty: receiver has it */
 };
 
 struct wire_hello_args {
@@ -53,8 +53,8 @@
 	uint32_t connections;
 	uint32_t cores;
 	uint64_t memory_mb;
-	uint64_t config_version;		/* configuration held */
-	int64_t sent_ns;
+	uint64_t config_version;		/* held by the agent */
+	int64_t sent_ns;		/* agent's clock, returned as echo_ns */
 	wire_load load;
 };
 
@@ -81,7 +81,7 @@
 
 struct wire_heartbeat_result {
 	int64_t echo_ns;
-	uint64_t acked_result;		/* highest result number received */
+	uint64_t acked_result;	/* results up to this number were received */
 	wire_config config;
 	uint64_t members_digest;
 	wire_member members<WIRE_MEMBERS_MAX>;	/* empty: digest unchanged */
@@ -93,10 +93,10 @@
 };
 
 struct wire_start {
-	uint64_t seq;
+	uint64_t seq;			/* unique per entry incarnation */
 	wire_name task_id;		/* "<job id>/<index>" */
 	wire_name service;
-	int64_t deadline_ms;		/* remaining time, to the answer */
+	int64_t deadline_ms;		/* time left until the answer is due */
 	string method<16>;		/* empty: POST to /tasks */
 	string path<4096>;
 	wire_header headers<WIRE_HEADERS_MAX>;
@@ -111,18 +111,18 @@
 
 enum wire_outcome {
 	WIRE_DONE = 0,			/* endpoint answered */
-	WIRE_NOT_STARTED = 1,		/* never reached the endpoint */
-	WIRE_UNKNOWN = 2		/* sent, no whole answer */
+	WIRE_NOT_STARTED = 1,		/* certainly not started */
+	WIRE_UNKNOWN = 2		/* sent, but no complete answer */
 };
 
 enum wire_reason {
 	WIRE_REASON_NONE = 0,
-	WIRE_REASON_STALE = 1,		/* configuration not confirmed */
-	WIRE_REASON_OUT = 2,		/* domain, worker or service is out */
+	WIRE_REASON_STALE = 1,	/* configuration not confirmed recently */
+	WIRE_REASON_OUT = 2,	/* domain, worker or service out of service */
 	WIRE_REASON_DRAINING = 3,
 	WIRE_REASON_DEADLINE = 4,
 	WIRE_REASON_WITHDRAWN = 5,
-	WIRE_REASON_SEALED = 6,
+	WIRE_REASON_SEALED = 6,		/* see wire_query_args */
 	WIRE_REASON_QUEUE_FULL = 7,
 	WIRE_REASON_NO_ENDPOINT = 8,
 	WIRE_REASON_CONNECT = 9,	/* endpoint refused the connection */
@@ -142,7 +142,7 @@
 };
 
 struct wire_results_args {
-	uint64_t first_result;		/* number of the first; rising by 1 */
+	uint64_t first_result;		/* number of the first; consecutive */
 	wire_load load;
 	wire_result results<WIRE_BATCH_MAX>;
 };
@@ -152,20 +152,24 @@
 };
 
 enum wire_state {
-	WIRE_STATE_UNSEEN = 0,		/* and can never start now */
+	WIRE_STATE_UNSEEN = 0,		/* not received, and sealed */
 	WIRE_STATE_QUEUED = 1,
 	WIRE_STATE_RUNNING = 2,
 	WIRE_STATE_DONE = 3		/* its result is sent again */
 };
 
+/*
+ * Asks for the state of starts after a reconnection.  The agent seals every
+ * lower seq that it has not received: a START with it is refused from then on.
+ */
 struct wire_query_args {
-	uint64_t next_seq;		/* every lower unseen seq is sealed */
+	uint64_t next_seq;		/* unreceived seqs below are sealed */
 	uint64_t acked_result;
 	uint64_t seqs<WIRE_BATCH_MAX>;
 };
 
 struct wire_query_result {
-	wire_state states<WIRE_BATCH_MAX>;	/* in the order asked */
+	wire_state states<WIRE_BATCH_MAX>;	/* in the order of seqs */
 };
 
 struct wire_peer_hello_args {
@@ -184,9 +188,9 @@
 
 struct wire_peer_status_result {
 	uint64_t incarnation;
-	bool vouches;			/* may count as a voter */
-	int64_t store_age_ms;		/* own store confirmation, -1 never */
-	wire_config config;		/* age as any process may use it */
+	bool vouches;		/* whether it counts as a voter */
+	int64_t store_age_ms;	/* since its last store read; -1: never */
+	wire_config config;	/* age by the store or by a quorum of peers */
 };
 
 /* A caller's request about a job, forwarded to its owner. */
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -8,38 +8,39 @@
 #include "request/work.h"
 
 /*
- * What an agent asks of the worker beside it.  Every call runs its callback
- * exactly once from the main loop.
+ * Interface to the worker beside an agent: start and stop a run, and "hold",
+ * which renews the lease of all runs and waits for a report.  Every call runs
+ * its callback exactly once from the main loop.
  */
 enum wp_verdict {
-	WP_DONE,     /* carried out */
-	WP_STALE,    /* refused: the run number is not higher than a past one */
+	WP_DONE,     /* executed */
+	WP_STALE,    /* refused: run number not above those of past runs */
 	WP_LATE,     /* refused: the deadline of the call has passed */
-	WP_FENCED,   /* refused: another agent has a higher token */
-	WP_REFUSED,  /* refused for another reason; nothing was done */
-	WP_REPLACED, /* another incarnation answered; nothing was done */
-	WP_NO_ANSWER /* may have been carried out, now or later */
+	WP_FENCED,   /* refused: the worker has seen a higher fencing token */
+	WP_REFUSED,  /* refused for another reason */
+	WP_REPLACED, /* refused by another incarnation of the worker */
+	WP_NO_ANSWER /* may have been executed, or may be later */
 };
 
 struct wp_answer {
 	enum wp_verdict verdict;
-	int64_t clock_ms; /* of the worker, 0: not told */
+	int64_t clock_ms; /* the worker's clock, 0: not in the answer */
 	const char *reason;
 };
 
-/* A call names the incarnation that it is meant for. */
+/* The worker incarnation that a call is addressed to. */
 struct wp_target {
 	const char *address; /* "ip:port" */
 	const char *instance;
-	int64_t token;
-	int64_t timeout_ms; /* of the answer, beyond the wait of a hold */
+	int64_t token;	    /* fencing token */
+	int64_t timeout_ms; /* of the answer, in addition to wp_hold.wait_ms */
 };
 
 struct wp_start {
 	const char *task;
 	const char *spec;
-	int64_t run;
-	int64_t deadline_ms; /* worker's clock; also extends its lease */
+	int64_t run;	     /* number, rising with every start of the agent */
+	int64_t deadline_ms; /* latest start and new lease, worker's clock */
 };
 
 enum wp_end {
@@ -52,11 +53,11 @@
 struct wp_running {
 	const char *task;
 	int64_t run;
-	int64_t percent;
+	int64_t percent; /* progress */
 };
 
 struct wp_ended {
-	int64_t number;
+	int64_t number; /* of the end, counted by the worker */
 	const char *task;
 	int64_t run;
 	enum wp_end how;
@@ -65,7 +66,7 @@
 /* Arrays are valid during the callback only. */
 struct wp_report {
 	struct wp_answer answer;
-	uint64_t born_ms; /* 0: not told */
+	uint64_t born_ms; /* start of the incarnation, 0: not in the answer */
 	const struct wp_running *running;
 	size_t n_running;
 	const struct wp_ended *ended;
@@ -73,9 +74,9 @@
 };
 
 struct wp_hold {
-	int64_t deadline_ms; /* worker's clock, 0: no extension */
-	int64_t last_end;    /* ends up to this number were processed */
-	int64_t wait_ms;     /* for an end */
+	int64_t deadline_ms; /* new lease, worker's clock; 0: unchanged */
+	int64_t last_end;    /* ends up to this number are not reported again */
+	int64_t wait_ms;     /* answer later, but at once when a run ends */
 };
 
 typedef void (*wp_answer_fn)(const struct wp_answer *answer, void *ctx);
@@ -91,11 +92,11 @@
 	    const struct wp_hold *hold, wp_report_fn fn, void *ctx);
 };
 
-/* The worker as it describes itself in its heartbeats. */
+/* The worker's description of itself in its heartbeats. */
 struct wp_worker {
 	const char *instance;
-	uint64_t born_ms;
-	int64_t seq;
+	uint64_t born_ms; /* start of the incarnation */
+	int64_t seq;	  /* of the heartbeat */
 	const char *service;
 	const char *address;
 	const char *failure_domain;
--- a/src/connection/worklink.c
+++ b/src/connection/worklink.c
@@ -11,14 +11,17 @@
 #include "process/clock.h"
 #include "process/events.h"
 
-#define BEAT_MS 250
-/* The agent has ended its side when this process did not run for so long. */
-#define PAUSE_MS 600
-/* A link without input for this long is closed. */
-#define SILENCE_MS	  800
-#define CONNECT_TIMEOUT_S 1
-#define BACKOFF_MIN_MS	  50
-#define BACKOFF_MAX_MS	  1000
+#define HEARTBEAT_MS 250
+/*
+ * When no heartbeat was sent for longer, this process was suspended and the
+ * agent may have stopped the runs of the connection.
+ */
+#define MAX_HEARTBEAT_GAP_MS 600
+/* A connection without input for this long is closed. */
+#define INPUT_TIMEOUT_MS   800
+#define CONNECT_TIMEOUT_S  1
+#define WLK_BACKOFF_MIN_MS 50
+#define WLK_BACKOFF_MAX_MS 1000
 
 struct wlk {
 	struct wlk_options opts;
@@ -27,8 +30,8 @@
 	GSocketClient *client;
 	GCancellable *connecting;
 	struct rpc_conn *conn;
-	int64_t alive_ms;
-	int64_t beat_ms; /* last heartbeat sent */
+	int64_t last_open_ms;
+	int64_t heartbeat_sent_ms; /* last heartbeat sent */
 	int64_t backoff_ms;
 	GArray *starts;	  /* run_start; strings owned */
 	GPtrArray *specs; /* of the starts */
@@ -59,12 +62,12 @@
 }
 
 static void
-retry_later(struct wlk *link)
+schedule_reconnect(struct wlk *link)
 {
 	int64_t pause_ms;
 
 	link->backoff_ms =
-	    CLAMP(link->backoff_ms * 2, BACKOFF_MIN_MS, BACKOFF_MAX_MS);
+	    CLAMP(link->backoff_ms * 2, WLK_BACKOFF_MIN_MS, WLK_BACKOFF_MAX_MS);
 	pause_ms = link->backoff_ms / 2 +
 		   g_random_int_range(0, (gint32)(link->backoff_ms / 2) + 1);
 	if (link->retry_id == 0)
@@ -72,7 +75,7 @@
 }
 
 static void
-forget_unsent(struct wlk *link)
+discard_unsent(struct wlk *link)
 {
 	g_array_set_size(link->starts, 0);
 	g_ptr_array_set_size(link->specs, 0);
@@ -87,10 +90,10 @@
 
 	if (conn == NULL)
 		return;
-	forget_unsent(link);
+	discard_unsent(link);
 	rpc_detach(conn);
 	rpc_unref(conn);
-	link->alive_ms = clk_now_ms();
+	link->last_open_ms = clk_now_ms();
 	link->opts.closed(link, why, link->opts.ctx);
 }
 
@@ -101,7 +104,7 @@
 
 	(void)conn;
 	drop_conn(link, why);
-	retry_later(link);
+	schedule_reconnect(link);
 }
 
 static void
@@ -132,17 +135,16 @@
 	if (link->conn == NULL)
 		return;
 	link->opts.beat(&args, link->opts.ctx);
-	link->beat_ms = clk_now_ms();
+	link->heartbeat_sent_ms = clk_now_ms();
 	rpc_send(link->conn, RUN_BEAT, (xdrproc_t)xdr_run_beat_args, &args);
 }
 
 static bool
 was_paused(const struct wlk *link)
 {
-	return clk_now_ms() - link->beat_ms > PAUSE_MS;
+	return clk_now_ms() - link->heartbeat_sent_ms > MAX_HEARTBEAT_GAP_MS;
 }
 
-/* Sends the heartbeat that is due. */
 void
 wlk_tick(struct wlk *link)
 {
@@ -150,17 +152,17 @@
 		return;
 	if (was_paused(link))
 		wlk_reconnect(link, "process was paused");
-	else if (clk_now_ms() - link->beat_ms >= BEAT_MS)
+	else if (clk_now_ms() - link->heartbeat_sent_ms >= HEARTBEAT_MS)
 		wlk_beat(link);
 }
 
 /*
- * An orderly close goes on to deliver what is in the socket, which may be a
- * start whose task is elsewhere by then: the connection is reset instead, by
- * the kernel too when data stays without an acknowledgement.
+ * Makes a close, and a timeout in the kernel, reset the connection.  After an
+ * orderly close the kernel would still deliver unsent data, which may be a
+ * start whose task was placed on another worker meanwhile.
  */
 static void
-drop_undelivered(GSocketConnection *conn)
+reset_on_close(GSocketConnection *conn)
 {
 	GSocket *socket = g_socket_connection_get_socket(conn);
 	struct linger abort_at_close = {.l_onoff = 1, .l_linger = 0};
@@ -170,7 +172,7 @@
 		evt_write(
 		    "agent", "\"reason\":\"SO_LINGER: %s\"", g_strerror(errno));
 	if (!g_socket_set_option(
-		socket, IPPROTO_TCP, TCP_USER_TIMEOUT, SILENCE_MS, NULL))
+		socket, IPPROTO_TCP, TCP_USER_TIMEOUT, INPUT_TIMEOUT_MS, NULL))
 		evt_write("agent", "\"reason\":\"TCP_USER_TIMEOUT: %s\"",
 		    g_strerror(errno));
 }
@@ -185,7 +187,7 @@
 	struct rpc_options opts = {
 	    .socket = socket,
 	    .prog = RUN_PROG,
-	    .silence_ms = SILENCE_MS,
+	    .silence_ms = INPUT_TIMEOUT_MS,
 	    .on_call = on_call,
 	    .on_closed = on_closed,
 	    .ctx = link,
@@ -199,10 +201,10 @@
 	g_clear_object(&link->connecting);
 	if (socket == NULL) {
 		g_error_free(error);
-		retry_later(link);
+		schedule_reconnect(link);
 		return;
 	}
-	drop_undelivered(socket);
+	reset_on_close(socket);
 	link->conn = rpc_new(&opts);
 	g_object_unref(socket);
 	args.entry = (char *)link->opts.name;
@@ -236,7 +238,7 @@
 	link->client = g_socket_client_new();
 	g_socket_client_set_enable_proxy(link->client, FALSE);
 	g_socket_client_set_timeout(link->client, CONNECT_TIMEOUT_S);
-	link->alive_ms = clk_now_ms();
+	link->last_open_ms = clk_now_ms();
 	link->starts = g_array_new(FALSE, FALSE, sizeof(run_start));
 	g_array_set_clear_func(link->starts, start_clear);
 	link->specs = g_ptr_array_new_with_free_func(g_free);
@@ -280,9 +282,9 @@
 }
 
 int64_t
-wlk_alive_ms(const struct wlk *link)
+wlk_last_open_ms(const struct wlk *link)
 {
-	return link->conn != NULL ? clk_now_ms() : link->alive_ms;
+	return link->conn != NULL ? clk_now_ms() : link->last_open_ms;
 }
 
 void
@@ -294,7 +296,7 @@
 		return;
 	st_set(&st, ST_TIMEOUT, "%s", why);
 	drop_conn(link, &st);
-	retry_later(link);
+	schedule_reconnect(link);
 }
 
 static uint32_t
@@ -302,7 +304,7 @@
 {
 	guint n = link->specs->len;
 
-	/* Tasks of one job follow each other. */
+	/* Tasks of a job are started in sequence and share their spec. */
 	if (n > 0 && strcmp(link->specs->pdata[n - 1], spec) == 0)
 		return n - 1;
 	g_ptr_array_add(link->specs, g_strdup(spec));
@@ -358,7 +360,7 @@
 	g_array_remove_range(link->cancels, 0, args.seqs.seqs_len);
 }
 
-/* A start precedes its cancel. */
+/* Starts go first, so that a cancel never arrives before its start. */
 void
 wlk_flush(struct wlk *link)
 {
--- a/src/connection/worklink.h
+++ b/src/connection/worklink.h
@@ -8,9 +8,10 @@
 #include "process/status.h"
 
 /*
- * The entry's connection to one agent, replaced when it fails.  Nothing that
- * was sent on a former connection counts after it: the agent ends the runs
- * of a connection that closes or goes silent.
+ * The entry's connection to one agent of a worker that runs tasks under
+ * leases.  It is reestablished when it fails.  Starts do not outlast their
+ * connection: the agent stops the runs of a connection that closed or timed
+ * out.
  */
 struct wlk;
 
@@ -18,7 +19,7 @@
 	const char *address; /* "ip:port"; copied */
 	const char *name;    /* of this entry; outlives the link */
 	uint64_t incarnation;
-	/* Fills the heartbeat; its array is borrowed. */
+	/* Fills a heartbeat to send; its array is borrowed. */
 	void (*beat)(struct run_beat_args *args, void *ctx);
 	void (*worker)(
 	    struct wlk *link, const struct run_worker_args *args, void *ctx);
@@ -29,26 +30,31 @@
 };
 
 struct wlk *wlk_new(const struct wlk_options *opts);
-/* closed() runs before this returns if the link is open. */
+/* If the link is open, closed() runs before this returns. */
 void wlk_free(struct wlk *link);
 
 const char *wlk_address(const struct wlk *link);
 bool wlk_is_open(const struct wlk *link);
-/* When the link was last open, or made (CLOCK_BOOTTIME). */
-int64_t wlk_alive_ms(const struct wlk *link);
-/* False when the connection can't be trusted with a start; it closes. */
+/* CLOCK_BOOTTIME when the link was last open, or else was created. */
+int64_t wlk_last_open_ms(const struct wlk *link);
+/*
+ * Queues a start until wlk_flush().  False when the link is not open, this
+ * process was suspended for longer than the agent waits, or the batch is full.
+ */
 bool wlk_start(struct wlk *link, const run_start *start, const char *spec);
 void wlk_cancel(struct wlk *link, uint64_t seq);
-/* Sends the starts and cancels since the last call. */
+/* Sends the queued starts and cancels. */
 void wlk_flush(struct wlk *link);
-/* Sends a heartbeat now, for news. */
+/* Sends a heartbeat at once, because its content has changed. */
 void wlk_beat(struct wlk *link);
 /*
- * To be called several times as often as heartbeats are due.  The links share
- * the caller's timer: each timer of its own would wake the process apart.
+ * Sends a heartbeat if one is due, or reconnects if this process was suspended.
+ * To be called several times per heartbeat interval.  All links share the
+ * caller's timer, since timers of their own would wake up the process for each
+ * link separately.
  */
 void wlk_tick(struct wlk *link);
-/* Closes the connection and makes a new one. */
+/* Closes the connection and opens a new one. */
 void wlk_reconnect(struct wlk *link, const char *why);
 
 #endif
