--- a/tests/test_endpoint.c
+++ b/tests/test_endpoint.c
@@ -18,7 +18,7 @@
 	"4\r\n0123\r\n6\r\n456789\r\n0\r\n\r\n"
 #define UNBOUNDED "HTTP/1.1 200 OK\r\n\r\n" BODY
 
-/* What the raw server does with the next connection. */
+/* A raw HTTP server, and its behaviour for the next connection. */
 static struct {
 	GSocketService *service;
 	char *address;
@@ -27,8 +27,8 @@
 	size_t answer_max; /* closes after this many bytes of the answer */
 	bool hang;
 	gint connections;
-	gint requests;	  /* of which at least one byte came */
-	GString *request; /* the last one */
+	gint requests;	  /* with at least one byte received */
+	GString *request; /* text of the last one */
 } server;
 
 static size_t
@@ -39,7 +39,7 @@
 	return field == NULL ? 0 : strtoul(field + 16, NULL, 10);
 }
 
-/* Reads byte by byte, so that a drop has an exact offset. */
+/* Reads byte by byte, so that the connection closes at an exact offset. */
 static void
 read_request(GInputStream *in)
 {
@@ -164,18 +164,18 @@
 }
 
 static bool
-is_whole(const struct outcome *o)
+is_complete(const struct outcome *o)
 {
 	return o->result.body.wire_payload_len == strlen(BODY) &&
 	       memcmp(o->result.body.wire_payload_val, BODY, strlen(BODY)) == 0;
 }
 
 /*
- * Guards against a second start: a connection that breaks at any byte of the
- * request must not make the library send the request again, and the start is
- * never reported as not started.
+ * Guards against a second start of a task: when the connection breaks at any
+ * byte of the request, libsoup must not send the request again, and the start
+ * must not be reported as not started.
  */
-START_TEST(drop_in_request)
+START_TEST(break_in_request)
 {
 	const char *const methods[] = {"", "GET", "PUT"};
 	struct plan plan = {"", NULL, 5000, 5000};
@@ -191,7 +191,7 @@
 		plan.method = methods[i];
 		server.read_max = SIZE_MAX;
 		o = call(ep, &plan);
-		ck_assert(is_whole(&o));
+		ck_assert(is_complete(&o));
 		expect(&o, WIRE_DONE, WIRE_REASON_NONE);
 		calls++;
 		len = server.request->len;
@@ -209,8 +209,8 @@
 }
 END_TEST
 
-/* The same for the answer, which must also never be taken when truncated. */
-START_TEST(drop_in_answer)
+/* The same for any byte of the answer; a truncated answer is not accepted. */
+START_TEST(break_in_answer)
 {
 	const char *const answers[] = {WHOLE, CHUNKED};
 	const char *const methods[] = {"", "GET"};
@@ -232,7 +232,7 @@
 			o = call(ep, &plan);
 			calls++;
 			if (o.result.outcome == WIRE_DONE) {
-				ck_assert(is_whole(&o));
+				ck_assert(is_complete(&o));
 				ck_assert_int_eq(o.result.status, 200);
 				expect(&o, WIRE_DONE, WIRE_REASON_NONE);
 			} else {
@@ -247,15 +247,15 @@
 }
 END_TEST
 
-/* A row's answer of this length in place of a text. */
+/* In a row: an answer with a body of n bytes, or with this text. */
 #define SIZED(n)  ((const char *)NULL), (n)
 #define TEXT(s)	  (s), 0
 #define EMPTY(st) TEXT("HTTP/1.1 " st " No\r\nContent-Length: 0\r\n\r\n")
 
-/* One call each, with the connections and the requests that it may make. */
+/* Rows of one call each, with the expected connections and requests. */
 static const struct row {
 	const char *name;
-	struct plan plan; /* address NULL: the server's */
+	struct plan plan; /* address NULL: that of the raw server */
 	const char *answer;
 	int size;
 	enum wire_outcome outcome;
@@ -263,25 +263,25 @@
 	int connections, requests;
 	bool closed, hang;
 } rows[] = {
-    {"Without a length, a truncated answer would pass for a whole one",
+    {"An answer without a length is unknown, as it may be truncated",
 	{"", NULL, 5000, 5000}, TEXT(UNBOUNDED), WIRE_UNKNOWN,
 	WIRE_REASON_BROKEN, 1, 1, false, false},
-    {"Only a start of which no byte was written may be called not started",
+    {"A refused connection: no byte was written, so not started",
 	{"", NULL, 5000, 5000}, TEXT(WHOLE), WIRE_NOT_STARTED,
 	WIRE_REASON_CONNECT, 0, 0, true, false},
-    {"The same for an address that is none", {"", "http://[", 5000, 5000},
+    {"An invalid address: not started", {"", "http://[", 5000, 5000},
 	TEXT(WHOLE), WIRE_NOT_STARTED, WIRE_REASON_CONNECT, 0, 0, false, false},
-    {"A pause between the check and the write: no byte may follow",
+    {"Nothing is written when the latest start time has passed",
 	{"", NULL, 5000, 0}, TEXT(WHOLE), WIRE_NOT_STARTED, WIRE_REASON_STALE,
 	1, 0, false, false},
-    {"The largest answer", {"", NULL, 5000, 5000}, SIZED(MAX_ANSWER), WIRE_DONE,
-	WIRE_REASON_NONE, 1, 1, false, false},
+    {"An answer of the maximum size", {"", NULL, 5000, 5000}, SIZED(MAX_ANSWER),
+	WIRE_DONE, WIRE_REASON_NONE, 1, 1, false, false},
     {"An answer over the limit", {"", NULL, 5000, 5000}, SIZED(MAX_ANSWER + 1),
 	WIRE_UNKNOWN, WIRE_REASON_TOO_LARGE, 1, 1, false, false},
-    {"An endpoint that hangs holds a slot no longer than to the deadline",
+    {"A hanging endpoint occupies a slot only until the deadline",
 	{"", NULL, 200, 200}, TEXT(WHOLE), WIRE_UNKNOWN, WIRE_REASON_DEADLINE,
 	1, 1, false, true},
-    {"libsoup sends again on another connection after a 421, but no byte",
+    {"After a 421, libsoup opens another connection, but must send nothing",
 	{"GET", NULL, 5000, 5000}, EMPTY("421"), WIRE_UNKNOWN,
 	WIRE_REASON_BROKEN, -1, 1, false, false},
 };
@@ -337,7 +337,7 @@
 }
 END_TEST
 
-/* A library that follows these by itself would send a second request. */
+/* libsoup must not follow these by itself, which sends a second request. */
 START_TEST(redirect_and_login_are_answers)
 {
 	const char *const answers[] = {
@@ -367,8 +367,8 @@
 END_TEST
 
 /*
- * What an endpoint refuses because the time to start has passed may run
- * elsewhere; any other 412 is its answer.
+ * Only a 412 that says that the task was not run counts as not started, so
+ * that the task may run elsewhere.  Any other 412 is an answer of the task.
  */
 START_TEST(refused_by_endpoint)
 {
@@ -407,7 +407,7 @@
 }
 END_TEST
 
-/* The endpoint relies on these headers; the path passes through unchanged. */
+/* The endpoint needs these headers, and the path as the caller sent it. */
 START_TEST(request_headers)
 {
 	static const char *const fields[] = {"Connection: close",
@@ -448,7 +448,7 @@
 	return ann_put(ann, json, strlen(json), running, now_ms, &st);
 }
 
-/* A bad announcement changes nothing; a lapsed one leaves no endpoint. */
+/* An invalid announcement changes nothing; an expired one offers no service. */
 START_TEST(announcement)
 {
 	static const char *const bad[] = {"", "[]", "{}", ANNOUNCEMENT "x",
@@ -472,7 +472,7 @@
 }
 END_TEST
 
-/* Work of a restarted agent's predecessor must not count as free slots. */
+/* After an agent restart, slots used by its former process are not free. */
 START_TEST(slots_in_use_by_others)
 {
 	struct ann *ann = ann_new();
@@ -488,6 +488,6 @@
 }
 END_TEST
 
-ROWS_MAIN("endpoint", 60, G_N_ELEMENTS(rows), one_call, drop_in_request,
-    drop_in_answer, redirect_and_login_are_answers, refused_by_endpoint,
+ROWS_MAIN("endpoint", 60, G_N_ELEMENTS(rows), one_call, break_in_request,
+    break_in_answer, redirect_and_login_are_answers, refused_by_endpoint,
     request_headers, announcement, slots_in_use_by_others)
--- a/tests/test_entrylink.c
+++ b/tests/test_entrylink.c
@@ -16,8 +16,8 @@
 /* The commands are listed in tests/cases/entrylink.txt. */
 
 /*
- * An entry that this test controls, for a real agent with a real stand-in
- * endpoint.  It holds one listening port and remembers what it was told.
+ * A scripted entry for a real agent with a real stand-in endpoint.  It listens
+ * on one port and records the messages of the agent.
  */
 static struct {
 	GSocketService *service;
@@ -30,11 +30,11 @@
 	bool lists_other;
 	struct wire_load load;
 	char service_name[WIRE_NAME_MAX + 1];
-	int64_t age_ms; /* told to the agent */
+	int64_t age_ms; /* of the configuration, as sent to the agent */
 	uint64_t version;
 	const char *document;
-	bool silent;	/* answers nothing on open connections */
-	bool hold_acks; /* acknowledges nothing */
+	bool silent;	/* answers no call on open connections */
+	bool hold_acks; /* does not acknowledge results */
 	uint64_t highest;
 	struct wire_result results[SEQ_MAX]; /* by seq; seq 0: none yet */
 	int copies[SEQ_MAX];
@@ -70,7 +70,7 @@
 	config->document.document_len = strlen(fake.document);
 }
 
-/* An entry that nobody can reach. */
+/* A listed entry at an address where nothing listens. */
 static struct wire_member other = {.incarnation = 99,
     .name = "other",
     .failure_domain = "a",
@@ -195,7 +195,7 @@
 	g_object_unref(loopback);
 }
 
-/* The entry of another incarnation takes the port over. */
+/* Simulates a restart of the entry: a new incarnation at the same port. */
 static void
 fake_become(uint64_t incarnation)
 {
@@ -285,7 +285,7 @@
 	xdr_free((xdrproc_t)xdr_wire_query_result, &result);
 }
 
-/* Asks for the states of seqs 1 to n. */
+/* Sends a QUERY for seqs 1 to n. */
 static void
 query(uint64_t next_seq, u_int n)
 {
@@ -304,7 +304,7 @@
 	ck_assert_uint_eq(fake.n_states, n);
 }
 
-/* Appends the states of the last answer to a query. */
+/* Appends n states of the last QUERY, from that of seq first on. */
 static void
 show_states(u_int first, u_int n, GString *actual)
 {
@@ -322,7 +322,7 @@
 	return fake.results[seq].seq != 0;
 }
 
-/* A result that says done has the status and the body of its own task. */
+/* Appends a result.  One that is done must have the body of its own task. */
 static void
 show_result(uint64_t seq, bool reason, GString *actual)
 {
@@ -353,7 +353,7 @@
 	return hn_json_int(hn_http("GET", url, NULL), path);
 }
 
-/* A number that the fake entry or the endpoint counted. */
+/* Returns a count of the fake entry or of the endpoint. */
 static int64_t
 count_of(const char *name)
 {
@@ -383,7 +383,7 @@
 	hn_finish();
 }
 
-/* Signals to the processes. */
+/* Commands that signal a process or wait for its exit. */
 static void
 process(const char *command, const char *name, GString *actual)
 {
@@ -402,7 +402,7 @@
 		ck_abort_msg("command %s", command);
 }
 
-/* How the fake entry behaves; false for another command. */
+/* Commands for the fake entry; returns false for any other command. */
 static bool
 behave(char **words, const char *arg)
 {
@@ -472,7 +472,7 @@
 		process(words[0], arg, actual);
 }
 
-/* A restarted agent must not count its predecessor's slots as free. */
+/* After an agent restart, slots used by its former process are not free. */
 START_TEST(agent_restart)
 {
 	uint64_t incarnation;
@@ -488,7 +488,7 @@
 	    hn_wait_until(strcmp(fake.service_name, "desk") == 0, HN_LIMIT_MS));
 	ck_assert_uint_ne(fake.hello.incarnation, incarnation);
 	ck_assert_uint_eq(fake.load.busy, 1);
-	/* The entry counts a start as load until the agent has received it. */
+	/* The entry counts starts above received_seq as additional load. */
 	ck_assert_uint_eq(fake.load.received_seq, 0);
 	send_start(fake.conn, 2, 2, 20000, "{\"run_ms\":200}");
 	ck_assert(hn_wait_until(has_result(3), HN_LIMIT_MS));
@@ -500,7 +500,7 @@
 }
 END_TEST
 
-/* Large results exceed one record and arrive in several, all whole. */
+/* Results that exceed one record together are split over several messages. */
 START_TEST(results_split)
 {
 	uint64_t seq;
@@ -519,5 +519,5 @@
 }
 END_TEST
 
-/* Each case says which failure it guards against. */
+/* The failures guarded against are in tests/cases/entrylink.txt. */
 REPLAY_MAIN("entrylink", 60, start, end, step, agent_restart, results_split)
--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -8,21 +8,21 @@
 
 /* The commands are listed in tests/cases/holder.txt. */
 
-#define LEASE_MS 1000 /* more than the holder takes */
+#define LEASE_MS 1000 /* above HOLD_MAX_LEASE_MS */
 #define MAX_ROWS 8
 
-/* A call without an answer. */
+/* A call that is not answered yet. */
 struct call {
 	wp_report_fn report;
 	wp_answer_fn answer;
 	void *ctx;
 };
 
-/* A worker that answers when the trace says so. */
-struct world {
+/* A simulated worker, which answers when a command says so. */
+struct fixture {
 	struct wp wp;
 	struct hold *hold;
-	int64_t token;	/* of the last call for a report */
+	int64_t token;	/* of the last request for a report */
 	GQueue reports; /* struct call */
 	GQueue starts;
 	GString *actual;
@@ -30,7 +30,7 @@
 
 static int64_t now_ms;
 
-/* These stand in for the clock of the library. */
+/* These replace the library's clock by a simulated one. */
 int64_t
 clk_now_ms(void)
 {
@@ -50,7 +50,7 @@
 }
 
 static void
-say(struct world *w, const char *fmt, ...)
+append(struct fixture *w, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -64,7 +64,7 @@
 }
 
 static const char *
-lease(int64_t deadline_ms)
+lease_text(int64_t deadline_ms)
 {
 	static char text[16];
 
@@ -75,7 +75,7 @@
 }
 
 static void
-push(GQueue *calls, wp_report_fn report, wp_answer_fn answer, void *ctx)
+push_call(GQueue *calls, wp_report_fn report, wp_answer_fn answer, void *ctx)
 {
 	struct call *call = g_new0(struct call, 1);
 
@@ -89,12 +89,12 @@
 on_start(void *port, const struct wp_target *target,
     const struct wp_start *start, wp_answer_fn fn, void *ctx)
 {
-	struct world *w = port;
+	struct fixture *w = port;
 
 	(void)target;
-	say(w, "start(%s,%d,lease=%s)", start->task, (int)start->run,
-	    lease(start->deadline_ms));
-	push(&w->starts, NULL, fn, ctx);
+	append(w, "start(%s,%d,lease=%s)", start->task, (int)start->run,
+	    lease_text(start->deadline_ms));
+	push_call(&w->starts, NULL, fn, ctx);
 }
 
 static void
@@ -102,10 +102,10 @@
     int64_t run, wp_answer_fn fn, void *ctx)
 {
 	struct wp_answer done = {.verdict = WP_DONE, .clock_ms = now_ms};
-	struct world *w = port;
+	struct fixture *w = port;
 
 	(void)target;
-	say(w, "stop(%s,%d)", task, (int)run);
+	append(w, "stop(%s,%d)", task, (int)run);
 	fn(&done, ctx);
 }
 
@@ -113,12 +113,12 @@
 on_hold(void *port, const struct wp_target *target, const struct wp_hold *hold,
     wp_report_fn fn, void *ctx)
 {
-	struct world *w = port;
+	struct fixture *w = port;
 
 	w->token = target->token;
-	say(w, "hold(wait=%d,lease=%s)", (int)hold->wait_ms,
-	    lease(hold->deadline_ms));
-	push(&w->reports, fn, NULL, ctx);
+	append(w, "hold(wait=%d,lease=%s)", (int)hold->wait_ms,
+	    lease_text(hold->deadline_ms));
+	push_call(&w->reports, fn, NULL, ctx);
 }
 
 static bool
@@ -133,32 +133,32 @@
 {
 	(void)report;
 	(void)sent_ms;
-	say(ctx, "report");
+	append(ctx, "report");
 }
 
 static void
 on_lost(const char *reason, void *ctx)
 {
 	(void)reason;
-	say(ctx, "lost");
+	append(ctx, "lost");
 }
 
 static void
 on_changed(void *ctx)
 {
-	say(ctx, "changed");
+	append(ctx, "changed");
 }
 
 static void
 on_started(const struct wp_answer *answer, void *ctx)
 {
-	say(ctx, answer->verdict == WP_DONE ? "started" : "unanswered");
+	append(ctx, answer->verdict == WP_DONE ? "started" : "unanswered");
 }
 
 static void *
 start(void)
 {
-	struct world *w = g_new0(struct world, 1);
+	struct fixture *w = g_new0(struct fixture, 1);
 	struct hold_options opts = {
 	    .wp = &w->wp,
 	    .lease_ms = LEASE_MS,
@@ -178,7 +178,7 @@
 	return w;
 }
 
-/* Ends the oldest call of a kind. */
+/* Completes the oldest call in the queue. */
 static void
 end_call(GQueue *calls, const struct wp_report *report)
 {
@@ -195,7 +195,7 @@
 end(void *ctx)
 {
 	struct wp_report none = {.answer = {.verdict = WP_NO_ANSWER}};
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	w->actual = NULL;
 	hold_close(w->hold);
@@ -208,7 +208,7 @@
 }
 
 static void
-beat(struct world *w, char **words)
+heartbeat(struct fixture *w, char **words)
 {
 	struct wp_worker worker = {
 	    .instance = "i",
@@ -222,7 +222,7 @@
 
 /* answer [running TASK RUN]... [ended N TASK RUN]... */
 static void
-answer(struct world *w, char **words)
+answer(struct fixture *w, char **words)
 {
 	struct wp_running running[MAX_ROWS] = {0};
 	struct wp_ended ended[MAX_ROWS] = {0};
@@ -250,14 +250,14 @@
 }
 
 static void
-wait_for_call(struct world *w)
+wait_for_call(struct fixture *w)
 {
 	while (g_queue_is_empty(&w->reports))
 		g_main_context_iteration(NULL, TRUE);
 }
 
 static void
-step_calls(struct world *w, char **words)
+step_calls(struct fixture *w, char **words)
 {
 	struct wp_report none = {.answer = {.verdict = WP_NO_ANSWER}};
 	struct wp_report done = {
@@ -269,7 +269,7 @@
 		end_call(&w->reports, &none);
 	else if (strcmp(words[0], "started") == 0)
 		end_call(&w->starts, &done);
-	else if (strcmp(words[0], "unstarted") == 0)
+	else if (strcmp(words[0], "drop_start") == 0)
 		end_call(&w->starts, &none);
 	else
 		ck_abort_msg("command %s", words[0]);
@@ -278,22 +278,22 @@
 static void
 step(void *ctx, char **words, GString *actual)
 {
-	struct world *w = ctx;
+	struct fixture *w = ctx;
 
 	w->actual = actual;
 	if (strcmp(words[0], "at") == 0) {
 		now_ms = atoi(words[1]);
 		hold_tick(w->hold);
-	} else if (strcmp(words[0], "beat") == 0)
-		beat(w, words);
+	} else if (strcmp(words[0], "heartbeat") == 0)
+		heartbeat(w, words);
 	else if (strcmp(words[0], "token") == 0)
-		say(w, "%d", (int)w->token);
+		append(w, "%d", (int)w->token);
 	else if (strcmp(words[0], "left") == 0)
 		hold_left(w->hold, "i");
 	else if (strcmp(words[0], "next") == 0)
 		wait_for_call(w);
 	else if (strcmp(words[0], "ready") == 0)
-		say(w, hold_is_ready(w->hold) ? "yes" : "no");
+		append(w, hold_is_ready(w->hold) ? "yes" : "no");
 	else if (strcmp(words[0], "start") == 0)
 		hold_start(
 		    w->hold, words[1], "spec", atoi(words[2]), on_started, w);
@@ -302,8 +302,8 @@
 }
 
 /*
- * A trace fails when tasks stay with a worker that is gone, when a lease is
- * taken to have ended too early, or when a task goes to a worker whose runs
- * are not known.
+ * The cases guard against tasks that stay with a dead worker, against treating
+ * a lease as expired too early, and against starts on a worker where runs of
+ * an earlier agent may be left.
  */
 REPLAY_MAIN("holder", 0, start, end, step)
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -10,14 +10,14 @@
 #define PROC  7
 #define SEED  20260411
 #define MARK  4
-#define BYTES 64 /* of a call record with one argument, at most */
+#define BYTES 64 /* maximum size of a call record with one argument */
 
-/* One side of a connection and what its callbacks saw. */
+/* One side of a connection, and the counts and values of its callbacks. */
 struct side {
 	struct rpc_options opts;
 	struct rpc_conn *conn;
-	bool answers; /* each call with its argument */
-	bool detaches;
+	bool answers;  /* replies to each call with its argument */
+	bool detaches; /* calls rpc_detach() at a reply */
 	int calls, closed, replies;
 	uint32_t arg, last_xid, result;
 	enum st_code why, reply_code;
@@ -87,7 +87,7 @@
 	g_object_unref(socket);
 }
 
-/* Connects side to a raw socket that the test reads and writes itself. */
+/* Connects side to a raw socket, which the test itself reads and writes. */
 static GSocket *
 open_raw(struct side *side)
 {
@@ -126,7 +126,7 @@
 	memcpy(at, &value, sizeof(value));
 }
 
-/* Writes the words of a call after room for a mark; returns its length. */
+/* Encodes a record mark and a call; returns the length without the mark. */
 static size_t
 call_record(uint8_t *out, uint32_t xid, uint32_t rpcvers, uint32_t prog,
     uint32_t vers, uint32_t cred_len, uint32_t arg)
@@ -156,8 +156,8 @@
 		continue;
 }
 
-/* A record must be understood however TCP and the peer split it. */
-START_TEST(splits_at_every_offset)
+/* A record must be decoded whatever way TCP or fragments split it. */
+START_TEST(records_split_at_every_offset)
 {
 	struct side side = {0};
 	GSocket *raw = open_raw(&side);
@@ -200,9 +200,9 @@
 
 static const struct {
 	const char *name;
-	uint32_t mark; /* 0: the right one */
+	uint32_t mark; /* record mark, 0: the right one */
 	uint32_t rpcvers, prog, vers, cred_len;
-	size_t send; /* 0: all */
+	size_t send; /* number of bytes sent, 0: all */
 	bool ends;   /* the peer closes after sending */
 	enum st_code why;
 } bad_records[] = {
@@ -219,7 +219,7 @@
     {"credentials", 0, 2, PROG, 1, 401, 0, false, ST_INVALID},
 };
 
-/* A bad record closes its own connection, once, and no other one. */
+/* An invalid record closes its connection, exactly once, and no other one. */
 START_TEST(bad_records_close)
 {
 	struct side other = {0}, peer = {.answers = true}, side;
@@ -263,7 +263,7 @@
 }
 END_TEST
 
-/* Random and damaged input must neither crash nor hang a connection. */
+/* Random and damaged input must not crash, nor leave a request pending. */
 START_TEST(random_records)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
@@ -302,7 +302,7 @@
 }
 END_TEST
 
-/* A reply to nobody is ignored; a late one must not reach another request. */
+/* Replies with an unknown xid or after the timeout reach no other request. */
 START_TEST(timeout_and_unknown_xid)
 {
 	struct side a = {0}, b = {0};
@@ -338,7 +338,7 @@
 }
 END_TEST
 
-/* Answers out of order, in both directions at once, reach their request. */
+/* With calls in both directions, replies out of order reach their request. */
 START_TEST(replies_out_of_order)
 {
 	enum { N = 100 };
@@ -368,7 +368,7 @@
 }
 END_TEST
 
-/* Closing runs each pending callback once, then on_closed, then nothing. */
+/* A close runs each pending callback once, then on_closed, and no other. */
 START_TEST(close_with_pending)
 {
 	enum { N = 50 };
@@ -391,7 +391,7 @@
 	ck_assert_int_eq(a.why, ST_LIMIT);
 	ck_assert(hn_wait_until(b.closed == 1, HN_LIMIT_MS));
 	ck_assert_int_eq(b.why, ST_UNAVAILABLE);
-	hn_sleep(250); /* past two ticks */
+	hn_sleep(250); /* two timeout checks */
 	ck_assert_int_eq(a.replies, N);
 	ck_assert_int_eq(a.closed + b.closed, 2);
 	rpc_unref(a.conn);
@@ -400,8 +400,8 @@
 END_TEST
 
 /*
- * After rpc_detach() the owner may free its context, also when it detaches
- * from within the callback of one of several requests that fail together.
+ * Guards against use after free: no callback may run after rpc_detach(), also
+ * when it is called in the callback of one of several failing requests.
  */
 START_TEST(detach_drops_callbacks)
 {
@@ -431,8 +431,8 @@
 }
 END_TEST
 
-/* A silent peer is given up; one that talks on another connection is not. */
-START_TEST(silence_closes)
+/* A connection without input is closed, one with input stays open. */
+START_TEST(connection_without_input_closes)
 {
 	struct side silent = {.opts.silence_ms = 300};
 	struct side talks = {.opts.silence_ms = 300}, peer = {0};
@@ -459,7 +459,7 @@
 	return xdr_opaque(xdrs, block, 65536);
 }
 
-/* A peer that does not read costs its own connection and bounded memory. */
+/* The connection of a peer that does not read is closed; others go on. */
 START_TEST(peer_does_not_read)
 {
 	struct side stuck = {.opts.max_queue_bytes = 1 << 20};
@@ -484,9 +484,9 @@
 END_TEST
 
 /*
- * A peer that reads more slowly than it is sent to for a long time must not
- * make the output buffer grow beyond its limit.  mallinfo2() returns zeros
- * under the address sanitizer, so the bound holds trivially there.
+ * The output buffer must stay within its limit when a peer keeps reading more
+ * slowly than data is sent.  mallinfo2() returns zeros under the address
+ * sanitizer, so the check has no effect there.
  */
 START_TEST(slow_reader_is_bounded)
 {
@@ -498,7 +498,7 @@
 	size_t most = 0;
 	gssize n;
 
-	/* With small socket buffers the rest of 3 MB waits in the process. */
+	/* With small socket buffers, most of 3 MB is queued in the process. */
 	g_socket_set_option(raw, SOL_SOCKET, SO_RCVBUF, 65536, NULL);
 	g_socket_set_option(g_socket_connection_get_socket(side.opts.socket),
 	    SOL_SOCKET, SO_SNDBUF, 65536, NULL);
@@ -523,7 +523,7 @@
 }
 END_TEST
 
-/* An argument larger than a record is refused without harm to the rest. */
+/* Arguments larger than a record are refused; the connection stays usable. */
 START_TEST(too_large_to_send)
 {
 	struct side a = {.opts.max_record_bytes = 1024}, b = {.answers = true};
@@ -542,7 +542,7 @@
 }
 END_TEST
 
-TEST_MAIN("rpc", 120, splits_at_every_offset, bad_records_close, random_records,
-    timeout_and_unknown_xid, replies_out_of_order, close_with_pending,
-    detach_drops_callbacks, silence_closes, peer_does_not_read,
-    slow_reader_is_bounded, too_large_to_send)
+TEST_MAIN("rpc", 120, records_split_at_every_offset, bad_records_close,
+    random_records, timeout_and_unknown_xid, replies_out_of_order,
+    close_with_pending, detach_drops_callbacks, connection_without_input_closes,
+    peer_does_not_read, slow_reader_is_bounded, too_large_to_send)
--- a/tests/test_worklink.c
+++ b/tests/test_worklink.c
@@ -8,7 +8,7 @@
 #include "harness.h"
 #include "runner.h"
 
-/* An agent that accepts a connection and says nothing. */
+/* An agent that accepts a connection and sends nothing. */
 struct agent {
 	GSocket *listener;
 	GSocket *conn;
@@ -72,7 +72,7 @@
 	return agent->conn != NULL;
 }
 
-/* Reads to the end of the connection; returns errno of the end, 0: orderly. */
+/* Reads until the connection closes; returns errno, or 0 if in order. */
 static int
 read_to_end(struct agent *agent)
 {
@@ -86,11 +86,11 @@
 }
 
 /*
- * A start that waits in the socket of a closed connection was delivered when
- * the path was whole again, after its task had been placed elsewhere.  A
- * reset drops it; an orderly end does not.
+ * Guards against a second start: a start buffered in a closed connection was
+ * delivered when the network recovered, after its task had been placed on
+ * another worker.  A reset discards it; an orderly close does not.
  */
-START_TEST(close_drops_what_was_not_delivered)
+START_TEST(close_discards_undelivered_data)
 {
 	struct agent agent = {0};
 	struct wlk_options opts = {
@@ -118,4 +118,4 @@
 }
 END_TEST
 
-TEST_MAIN("worklink", 0, close_drops_what_was_not_delivered)
+TEST_MAIN("worklink", 0, close_discards_undelivered_data)
