--- a/src/connection/endpoint.c
+++ b/src/connection/endpoint.c
@@ -115,7 +115,7 @@
 	g_free(call);
 }
 
-/* Headers of a single connection, or set by the agent itself. */
+/* Hop-by-hop headers, and headers that the agent sets itself. */
 static bool
 is_reserved_header(const char *name)
 {
@@ -171,9 +171,9 @@
 }
 
 /*
- * The latest start time is the task's deadline, or the time at which the
- * configuration becomes stale.  The reason STALE makes the entry pause the
- * agent instead of sending it the same task again at once.
+ * The latest start time is the deadline or, if earlier, the time at which the
+ * configuration becomes stale.  In the latter case the reason STALE makes the
+ * entry pause the agent instead of sending it the same task again at once.
  */
 static void
 fill_not_run(const struct call *call, struct wire_result *result)
@@ -336,7 +336,7 @@
 			    soup_message_get_response_headers(call->msg)) ==
 			SOUP_ENCODING_CHUNKED;
 	if (call->chunked) {
-		/* Below the message's stream and the chunk decoder. */
+		/* The stream below that of the message and the decoder. */
 		call->raw = base_stream(base_stream(call->stream));
 		if (call->raw == NULL) {
 			finish(call, false);
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -9,7 +9,7 @@
 
 #define NS_PER_MS	      1000000
 #define EL_BACKOFF_MIN_MS     50
-#define EL_BACKOFF_MAX_MS     2000 /* bounds the time to reconnect to an entry */
+#define EL_BACKOFF_MAX_MS     2000 /* bounds the delay of a reconnection */
 #define MS_PER_S	      1000
 #define MAX_BATCHES_PER_FLUSH 64 /* batches sent in one loop iteration */
 
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -101,7 +101,7 @@
 	return hold;
 }
 
-/* No answer of the worker port may arrive after this. */
+/* The worker port must not deliver any answer after this. */
 void
 hold_free(struct hold *hold)
 {
@@ -237,7 +237,7 @@
 	(void)ctx;
 }
 
-/* Stops runs of an earlier agent process, whose task sizes are unknown. */
+/* Stops runs of an earlier agent process: their resource use is unknown. */
 static void
 clear_runs(struct hold *hold, const struct wp_report *report)
 {
--- a/src/connection/peerlink.c
+++ b/src/connection/peerlink.c
@@ -9,7 +9,7 @@
 
 /* One outgoing connection. */
 struct peer {
-	struct pl_set *set; /* NULL once removed while connecting */
+	struct pl_set *set; /* NULL after the peer was removed */
 	char *address;
 	struct rpc_conn *conn;
 	GCancellable *connecting;
