--- a/src/connection/agentlink.h
+++ b/src/connection/agentlink.h
@@ -30,8 +30,8 @@
 	 * After this time without a connection, or without a result that the
 	 * agent said it would send, open starts get the outcome UNKNOWN.
 	 */
-	int64_t resolve_ms;
-	int64_t forget_ms; /* an agent without a connection is removed */
+	int64_t outcome_timeout_ms;
+	int64_t remove_after_ms; /* an agent without a connection is removed */
 	uint64_t (*next_seq)(void *ctx);
 	/* The list of entries, with a digest of it. */
 	const wire_member *(*members)(size_t *n, uint64_t *digest, void *ctx);
@@ -58,7 +58,7 @@
  */
 void al_accept(
     struct al_set *set, struct rpc_conn *conn, const struct rpc_call *hello);
-/* To be called periodically; applies resolve_ms and forget_ms. */
+/* To be called periodically; applies outcome_timeout_ms and remove_after_ms. */
 void al_tick(struct al_set *set, int64_t now_ms);
 uint32_t al_connected(const struct al_set *set);
 
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -128,7 +128,7 @@
 			    el->address, st.message);
 			return;
 		}
-		fresh_take(el->opts.fresh, cfg);
+		fresh_update(el->opts.fresh, cfg);
 		cfg_unref(cfg);
 	}
 	if (config->age_ms >= 0 && echo_ns >= el->first_sent_ns &&
@@ -214,7 +214,7 @@
 }
 
 void
-el_changed(struct el *el)
+el_request_heartbeat(struct el *el)
 {
 	if (el->open && el->requested_heartbeat_id == 0)
 		el->requested_heartbeat_id = g_idle_add_full(
@@ -503,7 +503,7 @@
 }
 
 uint64_t
-el_entry(const struct el *el)
+el_entry_incarnation(const struct el *el)
 {
 	return el->entry;
 }
--- a/src/connection/entrylink.h
+++ b/src/connection/entrylink.h
@@ -67,13 +67,13 @@
 void el_reconnect(struct el *el, const char *why);
 
 /* Sends one heartbeat soon, before the next regular one. */
-void el_changed(struct el *el);
+void el_request_heartbeat(struct el *el);
 /* Sends pending results in the next iteration of the main loop. */
 void el_flush(struct el *el);
 
 const char *el_address(const struct el *el);
 /* Incarnation of the entry last reached; 0 until the first HELLO. */
-uint64_t el_entry(const struct el *el);
+uint64_t el_entry_incarnation(const struct el *el);
 /* Whether HELLO was accepted on the current connection. */
 bool el_is_open(const struct el *el);
 /* The list of entries last received; owned by the link. */
--- a/src/connection/entryset.c
+++ b/src/connection/entryset.c
@@ -120,7 +120,8 @@
 is_link_to(const struct el *el, const struct target *t)
 {
 	return strcmp(el_address(el), t->address) == 0 ||
-	       (t->entry != 0 && el_entry(el) == t->entry && el_is_open(el));
+	       (t->entry != 0 && el_entry_incarnation(el) == t->entry &&
+		   el_is_open(el));
 }
 
 static bool
@@ -175,7 +176,7 @@
 		return false;
 	return !el_is_open(el) ||
 	       (all_open(es, targets) &&
-		   es->opts.is_idle(el_entry(el), es->opts.ctx));
+		   es->opts.is_idle(el_entry_incarnation(el), es->opts.ctx));
 }
 
 static gboolean
@@ -206,7 +207,7 @@
 
 /* Deferred, so that no link is freed while one of its callbacks runs. */
 void
-es_choose(struct es *es)
+es_reselect(struct es *es)
 {
 	if (es->reselect_id == 0)
 		es->reselect_id =
@@ -216,7 +217,7 @@
 static gboolean
 on_reselect_timer(gpointer data)
 {
-	es_choose(data);
+	es_reselect(data);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -230,7 +231,7 @@
 	es->links = g_ptr_array_new();
 	es->reselect_timer_id =
 	    g_timeout_add(RESELECT_INTERVAL_MS, on_reselect_timer, es);
-	es_choose(es);
+	es_reselect(es);
 	return es;
 }
 
@@ -257,7 +258,7 @@
 	for (i = 0; i < es->links->len; i++) {
 		struct el *el = es->links->pdata[i];
 
-		if (el_is_open(el) && el_entry(el) == entry)
+		if (el_is_open(el) && el_entry_incarnation(el) == entry)
 			return el;
 	}
 	return NULL;
--- a/src/connection/entryset.h
+++ b/src/connection/entryset.h
@@ -33,7 +33,7 @@
  * Repeats the selection in the next iteration of the main loop; to be called
  * when a list of entries or the state of a link has changed.
  */
-void es_choose(struct es *es);
+void es_reselect(struct es *es);
 /* The open link to an entry incarnation, or NULL. */
 struct el *es_find(const struct es *es, uint64_t entry);
 /* Whether the list of any connected entry has this incarnation. */
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -64,13 +64,14 @@
 	/* Reason for reporting runs as lost when clearing is done, or NULL. */
 	const char *lost_reason;
 	struct ans answers;
-	bool extra_in_progress; /* a request of hold_look() is in progress */
-	bool extra_pending;	/* another one was asked for meanwhile */
+	bool
+	    extra_in_progress; /* a request of hold_request_report() is in progress */
+	bool extra_pending; /* another one was asked for meanwhile */
 	guint poll_id;
 	bool was_ready;
 };
 
-/* A request for a report: a poll, or an extra one of hold_look(). */
+/* A request for a report: a poll, or an extra one of hold_request_report(). */
 struct call {
 	struct hold *hold;
 	uint64_t generation;
@@ -133,7 +134,7 @@
 }
 
 uint64_t
-hold_born_ms(const struct hold *hold)
+hold_incarnation(const struct hold *hold)
 {
 	return hold->phase == ABSENT ? 0 : hold->born_ms;
 }
@@ -175,7 +176,7 @@
 	int64_t now_ms = clk_now_ms();
 
 	if (verdict != WP_NO_ANSWER) {
-		ans_came(&hold->answers, now_ms - sent_ms);
+		ans_received(&hold->answers, now_ms - sent_ms);
 		hold->unanswered_since_ms = 0;
 		return;
 	}
@@ -270,7 +271,7 @@
 {
 	hold->lease_ends_ms = 0;
 	hold->lost_reason = NULL;
-	hold->opts.lost(reason, hold->opts.ctx);
+	hold->opts.runs_lost(reason, hold->opts.ctx);
 }
 
 static void
@@ -324,7 +325,7 @@
 	if (call->is_extra &&
 	    (hold->extra_pending || report->answer.verdict == WP_NO_ANSWER)) {
 		hold->extra_pending = false;
-		hold_look(hold);
+		hold_request_report(hold);
 	}
 	/* A new incarnation is adopted when its heartbeat arrives. */
 	schedule_poll(
@@ -362,14 +363,14 @@
 				   ? SHORT_POLL_WAIT_MS
 				   : POLL_WAIT_MS;
 		if (hold->unanswered_since_ms == 0 &&
-		    hold->opts.wanted(hold->opts.ctx))
+		    hold->opts.lease_needed(hold->opts.ctx))
 			args.deadline_ms = extend_lease(hold);
 	}
 	send_hold(hold, &args, false);
 }
 
 void
-hold_look(struct hold *hold)
+hold_request_report(struct hold *hold)
 {
 	struct wp_hold args = {.last_end = hold->last_end};
 
@@ -434,7 +435,7 @@
 }
 
 void
-hold_left(struct hold *hold, const char *instance)
+hold_worker_left(struct hold *hold, const char *instance)
 {
 	if (hold->phase == ABSENT || g_strcmp0(instance, hold->instance) != 0)
 		return;
--- a/src/connection/holder.h
+++ b/src/connection/holder.h
@@ -27,7 +27,7 @@
 	int64_t lease_ms;    /* longest lease that the worker grants */
 	int64_t token; /* fencing token, above that of any earlier agent */
 	/* Whether polls should renew the lease: some run needs it. */
-	bool (*wanted)(void *ctx);
+	bool (*lease_needed)(void *ctx);
 	/*
 	 * A report of the worker, for the request sent at sent_ms.  Reports may
 	 * arrive in another order than they were requested.
@@ -35,7 +35,7 @@
 	void (*report)(
 	    const struct wp_report *report, int64_t sent_ms, void *ctx);
 	/* No run started so far runs any more; their outcomes are unknown. */
-	void (*lost)(const char *reason, void *ctx);
+	void (*runs_lost)(const char *reason, void *ctx);
 	/* The worker, or the value of hold_is_ready(), has changed. */
 	void (*changed)(void *ctx);
 	void *ctx;
@@ -52,11 +52,11 @@
  */
 bool hold_heartbeat(struct hold *hold, const struct wp_worker *worker);
 /* The worker was deregistered and will not return. */
-void hold_left(struct hold *hold, const char *instance);
+void hold_worker_left(struct hold *hold, const char *instance);
 /* To be called periodically; detects timeouts and an expired lease. */
 void hold_tick(struct hold *hold);
 /* Requests a report at once, besides the long poll that is in progress. */
-void hold_look(struct hold *hold);
+void hold_request_report(struct hold *hold);
 
 /*
  * Whether starts may be sent: the worker answers, and no run of an earlier
@@ -64,7 +64,7 @@
  */
 bool hold_is_ready(const struct hold *hold);
 /* The worker's start time, which identifies its incarnation; 0: no worker. */
-uint64_t hold_born_ms(const struct hold *hold);
+uint64_t hold_incarnation(const struct hold *hold);
 void hold_start(struct hold *hold, const char *task, const char *spec,
     int64_t run, wp_answer_fn fn, void *ctx);
 void hold_stop(struct hold *hold, const char *task, int64_t run,
--- a/src/connection/httplisten.c
+++ b/src/connection/httplisten.c
@@ -56,7 +56,7 @@
 }
 
 void
-hl_limit_receive(SoupServer *server, int64_t receive_ms)
+hl_set_receive_timeout(SoupServer *server, int64_t receive_ms)
 {
 	g_signal_connect(server, "request-started",
 	    G_CALLBACK(on_request_started),
@@ -91,7 +91,7 @@
 }
 
 void
-hl_refuse_body(SoupServerMessage *msg)
+hl_discard_body(SoupServerMessage *msg)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(msg);
 
--- a/src/connection/httplisten.h
+++ b/src/connection/httplisten.h
@@ -8,7 +8,7 @@
 #include "process/status.h"
 
 /* Default time for a request to arrive, including idle time before it. */
-#define HL_RECEIVE_MS 60000
+#define HL_RECEIVE_TIMEOUT_MS 60000
 
 /* listen is "ip:port"; requests run in the thread-default main context. */
 bool hl_listen(SoupServer *server, const char *listen, struct status *st);
@@ -16,13 +16,13 @@
  * Closes connections whose request does not arrive completely within
  * receive_ms.  To be called before hl_listen().
  */
-void hl_limit_receive(SoupServer *server, int64_t receive_ms);
+void hl_set_receive_timeout(SoupServer *server, int64_t receive_ms);
 /*
  * Discards the body of a request, both received and future bytes, and closes
  * the connection after the answer.  To be called from an early handler or from
  * "got-headers".
  */
-void hl_refuse_body(SoupServerMessage *msg);
+void hl_discard_body(SoupServerMessage *msg);
 /* Whether the headers declare a body above max_bytes or of unknown length. */
 bool hl_body_exceeds(SoupServerMessage *msg, uint64_t max_bytes);
 
--- a/src/connection/rpc.h
+++ b/src/connection/rpc.h
@@ -41,7 +41,7 @@
 	uint32_t max_queue_bytes;  /* unsent output; 0: 64 MB */
 	int64_t silence_ms; /* closes after this time without input; 0: never */
 	/* Closes unless a call arrives within this time; 0: no limit. */
-	int64_t first_call_ms;
+	int64_t first_call_timeout_ms;
 	rpc_call_fn on_call;
 	rpc_closed_fn on_closed;
 	void *ctx;
--- a/src/connection/wire.x
+++ b/src/connection/wire.x
@@ -188,7 +188,7 @@
 
 struct wire_peer_status_result {
 	uint64_t incarnation;
-	bool vouches;		/* whether it counts as a voter */
+	bool may_vote;		/* whether it counts as a voter */
 	int64_t store_age_ms;	/* since its last store read; -1: never */
 	wire_config config;	/* age by the store or by a quorum of peers */
 };
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -13,9 +13,9 @@
  * its callback exactly once from the main loop.
  */
 enum wp_verdict {
-	WP_DONE,     /* executed */
-	WP_STALE,    /* refused: run number not above those of past runs */
-	WP_LATE,     /* refused: the deadline of the call has passed */
+	WP_DONE,      /* executed */
+	WP_STALE_RUN, /* refused: run number not above those of past runs */
+	WP_DEADLINE_PASSED, /* refused: the deadline of the call has passed */
 	WP_FENCED,   /* refused: the worker has seen a higher fencing token */
 	WP_REFUSED,  /* refused for another reason */
 	WP_REPLACED, /* refused by another incarnation of the worker */
@@ -43,11 +43,11 @@
 	int64_t deadline_ms; /* latest start and new lease, worker's clock */
 };
 
-enum wp_end {
+enum wp_end_kind {
 	WP_ENDED_DONE,
 	WP_ENDED_FAILED,
 	WP_ENDED_STOPPED,
-	WP_ENDED_LAPSED
+	WP_ENDED_LEASE_EXPIRED
 };
 
 struct wp_running {
@@ -60,7 +60,7 @@
 	int64_t number; /* of the end, counted by the worker */
 	const char *task;
 	int64_t run;
-	enum wp_end how;
+	enum wp_end_kind end_kind;
 };
 
 /* Arrays are valid during the callback only. */
--- a/src/connection/worklink.h
+++ b/src/connection/worklink.h
@@ -20,7 +20,7 @@
 	const char *name;    /* of this entry; outlives the link */
 	uint64_t incarnation;
 	/* Fills a heartbeat to send; its array is borrowed. */
-	void (*beat)(struct run_beat_args *args, void *ctx);
+	void (*fill_heartbeat)(struct run_heartbeat_args *args, void *ctx);
 	void (*worker)(
 	    struct wlk *link, const struct run_worker_args *args, void *ctx);
 	void (*update)(
@@ -46,7 +46,7 @@
 /* Sends the queued starts and cancels. */
 void wlk_flush(struct wlk *link);
 /* Sends a heartbeat at once, because its content has changed. */
-void wlk_beat(struct wlk *link);
+void wlk_send_heartbeat(struct wlk *link);
 /*
  * Sends a heartbeat if one is due, or reconnects if this process was suspended.
  * To be called several times per heartbeat interval.  All links share the
