--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -48,25 +48,23 @@
 	char *address;
 	uint64_t born_ms;
 	int64_t seq;
-	int64_t token;
-	int64_t last_end;
+	int64_t token;	  /* fencing token */
+	int64_t last_end; /* highest number of a reported end */
 	int64_t clock_ms; /* the worker's clock at clock_at_ms */
 	int64_t clock_at_ms;
-	int64_t sent_ms;       /* of the poll in progress, 0: none */
-	int64_t answered_ms;   /* last report of this incarnation */
-	int64_t deadline_ms;   /* of the lease, on the worker's clock */
-	int64_t lease_ends_ms; /* upper bound, 0: no lease was given */
-	int64_t
-	    unanswered_since_ms; /* first of the unanswered calls, 0: none */
+	int64_t sent_ms;	     /* of the poll in progress, 0: none */
+	int64_t answered_ms;	     /* last report of this incarnation */
+	int64_t deadline_ms;	     /* of the lease, on the worker's clock */
+	int64_t lease_ends_ms;	     /* upper bound, 0: no lease was given */
+	int64_t unanswered_since_ms; /* first unanswered call, 0: none */
 	/* Incremented per incarnation; answers of older ones are ignored. */
 	uint64_t generation;
 	int64_t short_poll_until_ms;
 	/* Reason for reporting runs as lost when clearing is done, or NULL. */
 	const char *lost_reason;
 	struct ans answers;
-	bool
-	    extra_in_progress; /* a request of hold_request_report() is in progress */
-	bool extra_pending; /* another one was asked for meanwhile */
+	bool extra_in_progress; /* one of hold_request_report() */
+	bool extra_pending;	/* asked for meanwhile */
 	guint poll_id;
 	bool was_ready;
 };
--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -122,7 +122,7 @@
 }
 
 static bool
-on_wanted(void *ctx)
+on_lease_needed(void *ctx)
 {
 	(void)ctx;
 	return true;
@@ -137,7 +137,7 @@
 }
 
 static void
-on_lost(const char *reason, void *ctx)
+on_runs_lost(const char *reason, void *ctx)
 {
 	(void)reason;
 	append(ctx, "lost");
@@ -163,9 +163,9 @@
 	    .wp = &w->wp,
 	    .lease_ms = LEASE_MS,
 	    .token = 10,
-	    .lease_needed = on_wanted,
+	    .lease_needed = on_lease_needed,
 	    .report = on_report,
-	    .runs_lost = on_lost,
+	    .runs_lost = on_runs_lost,
 	    .changed = on_changed,
 	    .ctx = w,
 	};
