--- a/src/connection/agentlink.c
+++ b/src/connection/agentlink.c
@@ -270,7 +270,7 @@
 }
 
 static void
-take_result(struct al *al, const wire_result *result)
+handle_result(struct al *al, const wire_result *result)
 {
 	if (!g_hash_table_remove(al->open, &result->seq)) {
 		(*al->set->late_results)++;
@@ -306,7 +306,7 @@
 	    args.first_result <= al->acked_result + 1)
 		al->acked_result = MAX(al->acked_result, last - 1);
 	for (i = 0; i < args.results.results_len; i++)
-		take_result(al, &args.results.results_val[i]);
+		handle_result(al, &args.results.results_val[i]);
 	report_load(al, &args.load);
 out:
 	xdr_free((xdrproc_t)xdr_wire_results_args, &args);
--- a/src/connection/announce.c
+++ b/src/connection/announce.c
@@ -5,10 +5,10 @@
 #include "connection/announce.h"
 #include "connection/endpoint.h"
 
-#define TTL_MIN_MS 100
-#define TTL_MAX_MS 600000
-#define SLOTS_MAX  65536
-#define BODY_MAX   65536
+#define TTL_MIN_MS     100
+#define TTL_MAX_MS     600000
+#define SLOTS_MAX      65536
+#define BODY_MAX_BYTES 65536
 /*
  * An announcement may count calls of this agent that have ended since.  Those
  * that ended this recently are not counted as requests of others.
@@ -153,7 +153,7 @@
 }
 
 static void
-apply(struct ann *ann, struct json_object **values, uint32_t running,
+apply_fields(struct ann *ann, struct json_object **values, uint32_t running,
     int64_t now_ms)
 {
 	struct ann_state *s = &ann->state;
@@ -173,12 +173,12 @@
 }
 
 static struct json_object *
-parse(const char *json, size_t len, struct status *st)
+parse_body(const char *json, size_t len, struct status *st)
 {
 	struct json_tokener *tok;
 	struct json_object *root;
 
-	if (len == 0 || len > BODY_MAX) {
+	if (len == 0 || len > BODY_MAX_BYTES) {
 		st_set(st, ST_INVALID, "body of %zu bytes", len);
 		return NULL;
 	}
@@ -202,14 +202,14 @@
     int64_t now_ms, struct status *st)
 {
 	struct json_object *values[N_FIELDS] = {NULL};
-	struct json_object *root = parse(json, len, st);
+	struct json_object *root = parse_body(json, len, st);
 	bool ok;
 
 	if (root == NULL)
 		return false;
 	ok = read_fields(root, values, st);
 	if (ok)
-		apply(ann, values, running, now_ms);
+		apply_fields(ann, values, running, now_ms);
 	json_object_put(root);
 	return ok;
 }
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -46,7 +46,7 @@
 }
 
 static void
-retry_later(struct el *el)
+schedule_reconnect(struct el *el)
 {
 	int64_t delay_ms = el->backoff_ms / 2 +
 			   g_random_int_range(0, (gint32)el->backoff_ms + 1);
@@ -85,7 +85,7 @@
 		log_line(LOG_NOTICE, "entry %s: connection closed: %s",
 		    el->address, why);
 	drop_connection(el);
-	retry_later(el);
+	schedule_reconnect(el);
 }
 
 static void
@@ -115,7 +115,7 @@
  * process make a confirmation look newer than it is.
  */
 static void
-take_config(struct el *el, const struct wire_config *config, int64_t echo_ns)
+apply_config(struct el *el, const struct wire_config *config, int64_t echo_ns)
 {
 	struct status st;
 	struct cfg *cfg;
@@ -158,7 +158,7 @@
 		return;
 	}
 	el->opts.handlers->acked(el, result.acked_result, el->opts.ctx);
-	take_config(el, &result.config, result.echo_ns);
+	apply_config(el, &result.config, result.echo_ns);
 	el->members_digest = result.members_digest;
 	if (result.members.members_len > 0)
 		set_members(el, &result.members.members_len,
@@ -372,7 +372,7 @@
 	    result->entry.name);
 	el->heartbeat_id =
 	    g_timeout_add(el->opts.heartbeat_ms, on_heartbeat, el);
-	take_config(el, &result->config, result->echo_ns);
+	apply_config(el, &result->config, result->echo_ns);
 	if (result->members.members_len > 0)
 		set_members(el, &result->members.members_len,
 		    &result->members.members_val);
@@ -437,7 +437,7 @@
 		log_line(
 		    LOG_DEBUG, "entry %s: %s", el->address, error->message);
 		g_error_free(error);
-		retry_later(el);
+		schedule_reconnect(el);
 		return;
 	}
 	opts = (struct rpc_options){
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -154,7 +154,7 @@
 }
 
 static struct wp_target
-target_of(const struct hold *hold)
+current_target(const struct hold *hold)
 {
 	return (struct wp_target){
 	    .address = hold->address,
@@ -240,7 +240,7 @@
 static void
 clear_runs(struct hold *hold, const struct wp_report *report)
 {
-	struct wp_target target = target_of(hold);
+	struct wp_target target = current_target(hold);
 	size_t i;
 
 	for (i = 0; i < report->n_running; i++)
@@ -333,7 +333,7 @@
 static void
 send_hold(struct hold *hold, const struct wp_hold *args, bool is_extra)
 {
-	struct wp_target target = target_of(hold);
+	struct wp_target target = current_target(hold);
 	struct call *call = g_new0(struct call, 1);
 
 	call->hold = hold;
@@ -498,7 +498,7 @@
 hold_start(struct hold *hold, const char *task, const char *spec, int64_t run,
     wp_answer_fn fn, void *ctx)
 {
-	struct wp_target target = target_of(hold);
+	struct wp_target target = current_target(hold);
 	struct wp_start start = {
 	    .task = task,
 	    .spec = spec,
@@ -514,7 +514,7 @@
 hold_stop(struct hold *hold, const char *task, int64_t run, wp_answer_fn fn,
     void *ctx)
 {
-	struct wp_target target = target_of(hold);
+	struct wp_target target = current_target(hold);
 
 	hold->opts.wp->stop(hold->opts.wp->port, &target, task, run,
 	    on_relayed_answer, relayed_call_new(hold, fn, ctx));
--- a/src/connection/listener.c
+++ b/src/connection/listener.c
@@ -3,7 +3,7 @@
 #include "connection/address.h"
 #include "connection/listener.h"
 
-#define MAX_UNIDENTIFIED 1024
+#define MAX_UNIDENTIFIED 1024 /* connections without a first call */
 
 struct ln {
 	struct ln_options opts;
--- a/src/connection/sessions.c
+++ b/src/connection/sessions.c
@@ -33,7 +33,7 @@
 }
 
 static struct session *
-find(const struct ses *ses, uint64_t id)
+find_session(const struct ses *ses, uint64_t id)
 {
 	return g_hash_table_lookup(ses->sessions, &id);
 }
@@ -231,7 +231,7 @@
 bool
 ses_is_live(const struct ses *ses, uint64_t id)
 {
-	const struct session *s = find(ses, id);
+	const struct session *s = find_session(ses, id);
 
 	return s != NULL &&
 	       clk_now_ms() - s->last_input_ms <= ses->opts.silence_ms;
@@ -241,7 +241,7 @@
 ses_send(
     struct ses *ses, uint64_t id, uint32_t proc, xdrproc_t encode, void *args)
 {
-	struct session *s = find(ses, id);
+	struct session *s = find_session(ses, id);
 
 	return s != NULL && rpc_send(s->conn, proc, encode, args);
 }
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -19,7 +19,7 @@
 	WP_FENCED,   /* refused: the worker has seen a higher fencing token */
 	WP_REFUSED,  /* refused for another reason */
 	WP_REPLACED, /* refused by another incarnation of the worker */
-	WP_NO_ANSWER /* may have been executed, or may be later */
+	WP_NO_ANSWER /* may have been executed, or may still be */
 };
 
 struct wp_answer {
@@ -39,7 +39,7 @@
 struct wp_start {
 	const char *task;
 	const char *spec;
-	int64_t run;	     /* number, rising with every start of the agent */
+	int64_t run;	     /* number, increases with every start */
 	int64_t deadline_ms; /* latest start and new lease, worker's clock */
 };
 
@@ -76,7 +76,7 @@
 struct wp_hold {
 	int64_t deadline_ms; /* new lease, worker's clock; 0: unchanged */
 	int64_t last_end;    /* ends up to this number are not reported again */
-	int64_t wait_ms;     /* answer later, but at once when a run ends */
+	int64_t wait_ms;     /* longest wait for the end of a run */
 };
 
 typedef void (*wp_answer_fn)(const struct wp_answer *answer, void *ctx);
