--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -8,10 +8,14 @@
 #include "process/log.h"
 
 #define NS_PER_MS	      1000000
-#define EL_BACKOFF_MIN_MS     50
-#define EL_BACKOFF_MAX_MS     2000 /* bounds the delay of a reconnection */
 #define MS_PER_S	      1000
 #define MAX_BATCHES_PER_FLUSH 64 /* batches sent in one loop iteration */
+/*
+ * A reconnection is delayed by 0.5 to 1.5 times the back-off.  Its maximum
+ * limits the time in which a restarted entry is found.
+ */
+#define EL_BACKOFF_MIN_MS 50
+#define EL_BACKOFF_MAX_MS 2000
 
 struct el {
 	struct el_options opts;
