--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -16,15 +16,15 @@
 #include "request/outcome.h"
 #include "version/fresh.h"
 
-#define TICK_MS	     100
-#define PAUSE_MIN_MS 500 /* a busy machine delays ticks by less */
-/* Leaves room for the load and the call header below a 4 MB record. */
-#define RESULTS_MAX_BYTES 3145728
-#define MIN_RECORDS	  4096
-#define MAX_RESULT_BYTES  33554432
-#define MAX_ENTRIES	  32
-/* An entry that is off every list this long has ended. */
-#define GONE_MS 60000
+#define AGENT_TICK_MS 100
+#define PAUSE_MIN_MS  500 /* ticks are delayed by less on a busy machine */
+/* A record is limited to 4 MB; the load and the call header need the rest. */
+#define RESULTS_MESSAGE_MAX_BYTES 3145728
+#define MIN_RESULT_RECORDS	  4096
+#define MAX_UNACKED_RESULT_BYTES  33554432
+#define MAX_RECORDED_ENTRIES	  32
+/* Records of an entry that no member list contains are kept this long. */
+#define ENDED_ENTRY_RETENTION_MS 60000
 
 struct agent {
 	const struct set_agent *set;
@@ -38,8 +38,8 @@
 	struct ex *ex;
 	struct es *es;
 	struct lh *lh;
-	struct ann_state told; /* as of the last heartbeat asked for */
-	char *told_service;
+	struct ann_state announced; /* state that entries were last sent */
+	char *announced_service;    /* owned copy of its service */
 	guint tick_id;
 	guint term_id;
 	guint int_id;
@@ -69,7 +69,7 @@
 	args->connections = ann->connections;
 	args->cores = ann->cores;
 	args->memory_mb = ann->memory_mb;
-	ex_load(agent->ex, &args->load);
+	ex_get_load(agent->ex, &args->load);
 }
 
 static bool
@@ -81,10 +81,10 @@
 	(void)el;
 	if (es_find(agent->es, entry->incarnation) != NULL)
 		return false;
-	/* Another process answers at the address: the former one ended. */
+	/* A new process listens at the address, so the former one has ended. */
 	if (previous != 0 && previous != entry->incarnation &&
 	    es_find(agent->es, previous) == NULL) {
-		ex_drop(agent->ex, previous);
+		ex_return_queued(agent->ex, previous);
 		out_gone(agent->out, previous);
 	}
 	out_open(agent->out, entry->incarnation);
@@ -118,10 +118,10 @@
 	struct agent *agent = ctx;
 
 	(void)el;
-	ex_pump(agent->ex);
+	ex_run_queue(agent->ex);
 }
 
-static void check_drained(struct agent *agent);
+static void quit_if_drained(struct agent *agent);
 
 static void
 on_acked(struct el *el, uint64_t number, void *ctx)
@@ -129,27 +129,29 @@
 	struct agent *agent = ctx;
 
 	out_ack(agent->out, el_entry(el), number);
-	check_drained(agent);
+	quit_if_drained(agent);
 }
 
-/* Reports whether this process has just been paused for long. */
+/* Tells whether this process was paused since the last tick. */
 static bool
-was_paused(const struct agent *agent)
+was_process_paused(const struct agent *agent)
 {
 	return clk_now_ms() - agent->last_tick_ms >
 	       MAX(agent->set->silence_ms, PAUSE_MIN_MS);
 }
 
 /*
- * What waited in the sockets while the process was paused is of unknown age,
- * and the entries have given up these connections, so it isn't processed.
+ * Starts that were buffered in the sockets while this process was paused may
+ * be outdated, and the entries have given up these connections.  False closes
+ * the connection without processing them.
  */
 static bool
 on_start(struct el *el, struct wire_start_args *args, void *ctx)
 {
 	struct agent *agent = ctx;
 
-	return !was_paused(agent) && ex_start(agent->ex, el_entry(el), args);
+	return !was_process_paused(agent) &&
+	       ex_start(agent->ex, el_entry(el), args);
 }
 
 static void
@@ -174,13 +176,14 @@
 {
 	struct agent *agent = ctx;
 
-	if (!out_batch(agent->out, el_entry(el), RESULTS_MAX_BYTES, args)) {
+	if (!out_batch(
+		agent->out, el_entry(el), RESULTS_MESSAGE_MAX_BYTES, args)) {
 		/* The reply to a heartbeat acknowledges the last results. */
 		if (agent->draining)
 			el_changed(el);
 		return false;
 	}
-	ex_load(agent->ex, &args->load);
+	ex_get_load(agent->ex, &args->load);
 	return true;
 }
 
@@ -205,7 +208,7 @@
 
 	if (el != NULL)
 		el_flush(el);
-	check_drained(agent);
+	quit_if_drained(agent);
 }
 
 static bool
@@ -217,33 +220,33 @@
 }
 
 static void
-tell_link(struct el *el, void *ctx)
+request_heartbeat(struct el *el, void *ctx)
 {
 	(void)ctx;
 	el_changed(el);
 }
 
-/* Tells the entries at once when the announcement says something new. */
+/* Sends heartbeats at once when the endpoint's announcement has changed. */
 static void
-tell_changes(struct agent *agent)
+announce_changes(struct agent *agent)
 {
 	const struct ann_state *ann = ann_state(agent->ann, clk_now_ms());
-	bool same = g_strcmp0(ann->service, agent->told_service) == 0 &&
-		    ann->slots == agent->told.slots &&
-		    ann->connections == agent->told.connections &&
-		    ann->cores == agent->told.cores &&
-		    ann->memory_mb == agent->told.memory_mb &&
-		    ann->draining == agent->told.draining;
+	bool same = g_strcmp0(ann->service, agent->announced_service) == 0 &&
+		    ann->slots == agent->announced.slots &&
+		    ann->connections == agent->announced.connections &&
+		    ann->cores == agent->announced.cores &&
+		    ann->memory_mb == agent->announced.memory_mb &&
+		    ann->draining == agent->announced.draining;
 
 	if (same)
 		return;
-	log_line(LOG_INFO, "endpoint: service \"%s\", %u slots%s",
+	log_line(LOG_INFO, "endpoint announced service \"%s\", %u slots%s",
 	    ann->service == NULL ? "" : ann->service, ann->slots,
 	    ann->draining ? ", draining" : "");
-	agent->told = *ann;
-	g_free(agent->told_service);
-	agent->told_service = g_strdup(ann->service);
-	es_each(agent->es, tell_link, NULL);
+	agent->announced = *ann;
+	g_free(agent->announced_service);
+	agent->announced_service = g_strdup(ann->service);
+	es_each(agent->es, request_heartbeat, NULL);
 }
 
 static void
@@ -251,8 +254,8 @@
 {
 	struct agent *agent = ctx;
 
-	tell_changes(agent);
-	ex_pump(agent->ex);
+	announce_changes(agent);
+	ex_run_queue(agent->ex);
 }
 
 static uint32_t
@@ -263,72 +266,77 @@
 	return ex_running(agent->ex);
 }
 
-struct scan {
+/* Classifies the entry incarnations that have records here. */
+struct entry_scan {
 	struct agent *agent;
-	GArray *ended; /* incarnations off every list */
-	GArray *gone;  /* those that have been so for long */
-	bool waiting;  /* results that an entry may still acknowledge */
+	GArray *unlisted; /* disconnected and in no member list */
+	GArray *expired;  /* those of them past the retention time */
+	bool ack_pending; /* any other entry, which may yet acknowledge */
 };
 
 static void
-scan_entry(uint64_t entry, int64_t closed_ms, void *ctx)
+classify_entry(uint64_t entry, int64_t closed_ms, void *ctx)
 {
-	struct scan *scan = ctx;
+	struct entry_scan *scan = ctx;
 	struct agent *agent = scan->agent;
 
 	if (closed_ms < 0 || es_open_links(agent->es) == 0 ||
 	    es_is_listed(agent->es, entry)) {
-		scan->waiting = true;
+		scan->ack_pending = true;
 		return;
 	}
-	g_array_append_val(scan->ended, entry);
-	if (clk_now_ms() - closed_ms > GONE_MS)
-		g_array_append_val(scan->gone, entry);
+	g_array_append_val(scan->unlisted, entry);
+	if (clk_now_ms() - closed_ms > ENDED_ENTRY_RETENTION_MS)
+		g_array_append_val(scan->expired, entry);
 }
 
 static void
-scan_entries(struct agent *agent, struct scan *scan)
+classify_entries(struct agent *agent, struct entry_scan *scan)
 {
 	scan->agent = agent;
-	scan->ended = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	scan->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	scan->waiting = false;
-	out_each(agent->out, scan_entry, scan);
+	scan->unlisted = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	scan->expired = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	scan->ack_pending = false;
+	out_each(agent->out, classify_entry, scan);
 }
 
 static void
-scan_clear(struct scan *scan)
+scan_free_arrays(struct entry_scan *scan)
 {
-	g_array_unref(scan->ended);
-	g_array_unref(scan->gone);
+	g_array_unref(scan->unlisted);
+	g_array_unref(scan->expired);
 }
 
-/* Drops the queued starts of entries that ended, later their records. */
+/* Returns queued starts of entries that ended; later drops their records. */
 static void
-drop_ended(struct agent *agent)
+drop_ended_entries(struct agent *agent)
 {
-	struct scan scan;
+	struct entry_scan scan;
 	guint i;
 
-	scan_entries(agent, &scan);
-	for (i = 0; i < scan.ended->len; i++)
-		ex_drop(agent->ex, g_array_index(scan.ended, uint64_t, i));
-	for (i = 0; i < scan.gone->len; i++)
-		out_gone(agent->out, g_array_index(scan.gone, uint64_t, i));
-	scan_clear(&scan);
+	classify_entries(agent, &scan);
+	for (i = 0; i < scan.unlisted->len; i++)
+		ex_return_queued(
+		    agent->ex, g_array_index(scan.unlisted, uint64_t, i));
+	for (i = 0; i < scan.expired->len; i++)
+		out_gone(agent->out, g_array_index(scan.expired, uint64_t, i));
+	scan_free_arrays(&scan);
 }
 
-/* Ends the loop once nothing runs and every result is acknowledged. */
+/*
+ * While draining, quits the main loop once no call is open and every result
+ * has been acknowledged, or at the drain deadline.
+ */
 static void
-check_drained(struct agent *agent)
+quit_if_drained(struct agent *agent)
 {
-	struct scan scan;
+	struct entry_scan scan;
 
 	if (!agent->draining || agent->es == NULL)
 		return;
-	scan_entries(agent, &scan);
-	scan_clear(&scan);
-	agent->clean = ex_running(agent->ex) == 0 && !scan.waiting;
+	classify_entries(agent, &scan);
+	scan_free_arrays(&scan);
+	agent->clean = ex_running(agent->ex) == 0 && !scan.ack_pending;
 	if (agent->clean || clk_now_ms() >= agent->drain_deadline_ms)
 		g_main_loop_quit(agent->loop);
 }
@@ -345,7 +353,7 @@
 {
 	struct wire_load load;
 
-	ex_load(agent->ex, &load);
+	ex_get_load(agent->ex, &load);
 	*agent->busy = load.busy;
 	*agent->queued = load.queued;
 	*agent->open_links = es_open_links(agent->es);
@@ -359,18 +367,17 @@
 {
 	struct agent *agent = data;
 
-	if (was_paused(agent))
+	if (was_process_paused(agent))
 		es_each(agent->es, reconnect_link, "process was paused");
 	agent->last_tick_ms = clk_now_ms();
-	tell_changes(agent);
-	drop_ended(agent);
-	ex_pump(agent->ex);
+	announce_changes(agent);
+	drop_ended_entries(agent);
+	ex_run_queue(agent->ex);
 	update_gauges(agent);
-	check_drained(agent);
+	quit_if_drained(agent);
 	return G_SOURCE_CONTINUE;
 }
 
-/* Tells the entries, returns the queue and lets running tasks finish. */
 void
 agent_drain(struct agent *agent)
 {
@@ -380,8 +387,8 @@
 	agent->draining = true;
 	agent->drain_deadline_ms = clk_now_ms() + agent->set->drain_timeout_ms;
 	ex_drain(agent->ex);
-	es_each(agent->es, tell_link, NULL);
-	check_drained(agent);
+	es_each(agent->es, request_heartbeat, NULL);
+	quit_if_drained(agent);
 }
 
 static gboolean
@@ -407,11 +414,11 @@
 }
 
 static void
-make_work(struct agent *agent)
+make_executor(struct agent *agent)
 {
 	const struct set_agent *set = agent->set;
-	struct out_options out = {
-	    MAX(MIN_RECORDS, set->max_queue), MAX_RESULT_BYTES, MAX_ENTRIES};
+	struct out_options out = {MAX(MIN_RESULT_RECORDS, set->max_queue),
+	    MAX_UNACKED_RESULT_BYTES, MAX_RECORDED_ENTRIES};
 	struct ex_options ex = {
 	    .worker = set->worker,
 	    .failure_domain = set->failure_domain,
@@ -457,7 +464,6 @@
 	agent->es = es_new(&opts);
 }
 
-/* Makes the agent and binds its listener. */
 struct agent *
 agent_new(const struct set_agent *set, struct status *st)
 {
@@ -472,7 +478,7 @@
 		return NULL;
 	}
 	agent->loop = g_main_loop_new(NULL, FALSE);
-	make_work(agent);
+	make_executor(agent);
 	lh = (struct lh_options){
 	    .listen = set->listen,
 	    .ann = agent->ann,
@@ -489,24 +495,23 @@
 	}
 	make_links(agent);
 	agent->last_tick_ms = clk_now_ms();
-	agent->tick_id = g_timeout_add(TICK_MS, on_tick, agent);
+	agent->tick_id = g_timeout_add(AGENT_TICK_MS, on_tick, agent);
 	agent->term_id = g_unix_signal_add(SIGTERM, on_signal, agent);
 	agent->int_id = g_unix_signal_add(SIGINT, on_signal, agent);
 	return agent;
 }
 
-/* Serves until drained. */
 bool
 agent_run(struct agent *agent)
 {
 	g_main_loop_run(agent->loop);
 	if (!agent->clean)
-		log_line(LOG_WARNING, "drain timeout: %u tasks running",
+		log_line(LOG_WARNING,
+		    "drain timeout passed with %u tasks running",
 		    ex_running(agent->ex));
 	return agent->clean;
 }
 
-/* Frees the agent with everything below it. */
 void
 agent_free(struct agent *agent)
 {
@@ -524,6 +529,6 @@
 	trc_free(agent->traces);
 	ctr_free(agent->counters);
 	g_main_loop_unref(agent->loop);
-	g_free(agent->told_service);
+	g_free(agent->announced_service);
 	g_free(agent);
 }
--- a/src/process/agent.h
+++ b/src/process/agent.h
@@ -6,15 +6,18 @@
 #include "process/settings.h"
 #include "process/status.h"
 
-/* Root object of spagentd: owns the loop and every object below it. */
+/* The root object of spagentd: owns the main loop and all other objects. */
 struct agent;
 
-/* set outlives the agent.  NULL on error, with the reason in st. */
+/* set must outlive the agent.  NULL on error, with the reason in st. */
 struct agent *agent_new(const struct set_agent *set, struct status *st);
-/* Runs until a drain has ended; true when no work was interrupted. */
+/*
+ * Runs until a graceful shutdown is complete.  False: tasks were still running
+ * or results unacknowledged when drain_timeout_ms had passed.
+ */
 bool agent_run(struct agent *agent);
 void agent_free(struct agent *agent);
-/* Starts the graceful shutdown. */
+/* Starts a graceful shutdown: refuses starts, lets running tasks finish. */
 void agent_drain(struct agent *agent);
 
 #endif
--- a/src/process/clock.c
+++ b/src/process/clock.c
@@ -5,7 +5,6 @@
 #define NS_PER_S  1000000000LL
 #define NS_PER_MS 1000000LL
 
-/* Returns the time since boot in nanoseconds, including suspension. */
 int64_t
 clk_now_ns(void)
 {
@@ -15,14 +14,12 @@
 	return ts.tv_sec * NS_PER_S + ts.tv_nsec;
 }
 
-/* Returns the time since boot in milliseconds, including suspension. */
 int64_t
 clk_now_ms(void)
 {
 	return clk_now_ns() / NS_PER_MS;
 }
 
-/* Returns the wall clock in milliseconds; for logs and traces only. */
 int64_t
 clk_wall_ms(void)
 {
--- a/src/process/clock.h
+++ b/src/process/clock.h
@@ -3,9 +3,10 @@
 
 #include <stdint.h>
 
-/* CLOCK_BOOTTIME counts time that the machine spent suspended. */
+/* CLOCK_BOOTTIME: includes time during which the machine was suspended. */
 int64_t clk_now_ns(void);
 int64_t clk_now_ms(void);
+/* Milliseconds since the epoch; may jump, so not for measuring durations. */
 int64_t clk_wall_ms(void);
 
 #endif
--- a/src/process/counters.c
+++ b/src/process/counters.c
@@ -6,14 +6,13 @@
 struct sample {
 	char *name;
 	char *help;
-	size_t family_len; /* of the name without its labels */
+	size_t family_len; /* length of the name without labels */
 	bool is_gauge;
 	int64_t value;
 };
 
 struct ctr_registry {
-	GTree
-	    *samples; /* name -> struct sample, labels of one family adjacent */
+	GTree *samples; /* name to struct sample; families contiguous */
 };
 
 static size_t
@@ -23,8 +22,9 @@
 }
 
 /*
- * Orders by family before labels, since the exposition format wants the
- * samples of one family in one group and "a_b" sorts before "a{".
+ * Orders by family first, then by labels.  The exposition format requires the
+ * samples of a family to be contiguous, but in byte order "a_b" sorts between
+ * "a" and "a{".
  */
 static gint
 compare_names(gconstpointer left, gconstpointer right, gpointer data)
@@ -51,7 +51,6 @@
 	g_free(s);
 }
 
-/* Creates an empty registry; ctr_free() frees it and every value in it. */
 struct ctr_registry *
 ctr_new(void)
 {
@@ -61,7 +60,6 @@
 	return reg;
 }
 
-/* Frees the registry; pointers to its values become invalid. */
 void
 ctr_free(struct ctr_registry *reg)
 {
@@ -88,17 +86,12 @@
 	return &s->value;
 }
 
-/*
- * Returns the value of a counter, which the caller only increases.  The
- * pointer stays valid until the registry is freed.
- */
 int64_t *
 ctr_counter(struct ctr_registry *reg, const char *name, const char *help)
 {
 	return find_or_add(reg, name, help, false);
 }
 
-/* Returns the value of a gauge, which the caller sets freely. */
 int64_t *
 ctr_gauge(struct ctr_registry *reg, const char *name, const char *help)
 {
@@ -144,10 +137,6 @@
 	return FALSE;
 }
 
-/*
- * Returns all values in the Prometheus text format, grouped by family.  The
- * caller frees the text with g_free().
- */
 char *
 ctr_text(const struct ctr_registry *reg)
 {
--- a/src/process/counters.h
+++ b/src/process/counters.h
@@ -11,8 +11,9 @@
 void ctr_free(struct ctr_registry *reg);
 
 /*
- * Returns the value of the counter or gauge with this name, made on first
- * use, so the caller adds to it directly.  The registry owns it.  name may
+ * Return a pointer to the value of the counter or gauge with this name, which
+ * is created on first use.  The caller only increases a counter and sets a
+ * gauge freely.  The pointer is valid until the registry is freed.  name may
  * carry labels: "starts_total{outcome=\"done\"}".
  */
 int64_t *ctr_counter(
@@ -20,7 +21,7 @@
 int64_t *ctr_gauge(
     struct ctr_registry *reg, const char *name, const char *help);
 
-/* Prometheus text exposition; the caller frees it with g_free(). */
+/* All values in the Prometheus text format; free with g_free(). */
 char *ctr_text(const struct ctr_registry *reg);
 
 #endif
--- a/src/process/daemon.c
+++ b/src/process/daemon.c
@@ -37,7 +37,6 @@
 	}
 }
 
-/* The main function of both daemons. */
 int
 dmn_main(const struct dmn_options *opts, int argc, char **argv)
 {
--- a/src/process/enlist.c
+++ b/src/process/enlist.c
@@ -5,20 +5,20 @@
 #include "process/enlist.h"
 #include "process/events.h"
 
-/* A failed call is repeated after this time, and up to half of it more. */
-#define RETRY_MS 300
+/* Delay before a failed store call is retried, plus up to half of it. */
+#define STORE_RETRY_MS 300
 
 struct enl {
 	struct enl_options opts;
 	char *key;
-	char *text; /* what the entry should hold */
-	bool read;
+	char *text; /* JSON that the registration should hold */
+	bool read;  /* the registration was read once */
 	bool writing;
-	bool dirty; /* text has changed since the last write began */
+	bool dirty; /* text has changes that no write has begun for */
 	guint retry_id;
 };
 
-static void proceed(struct enl *enl);
+static void sync_registration(struct enl *enl);
 
 static gboolean
 on_retry(gpointer data)
@@ -26,7 +26,7 @@
 	struct enl *enl = data;
 
 	enl->retry_id = 0;
-	proceed(enl);
+	sync_registration(enl);
 	return G_SOURCE_REMOVE;
 }
 
@@ -36,9 +36,10 @@
 	evt_write(
 	    "enlist", "\"state\":\"failed\",\"reason\":\"%s\"", st->message);
 	if (enl->retry_id == 0)
-		enl->retry_id = g_timeout_add(
-		    RETRY_MS + (guint)g_random_int_range(0, RETRY_MS / 2),
-		    on_retry, enl);
+		enl->retry_id =
+		    g_timeout_add(STORE_RETRY_MS + (guint)g_random_int_range(
+						       0, STORE_RETRY_MS / 2),
+			on_retry, enl);
 }
 
 static void
@@ -53,7 +54,7 @@
 		return;
 	}
 	evt_write("enlist", "\"state\":\"written\"");
-	proceed(enl);
+	sync_registration(enl);
 }
 
 static const char *
@@ -94,7 +95,10 @@
 	return labels;
 }
 
-/* Takes what an earlier process wrote, unless a heartbeat came first. */
+/*
+ * Passes on the worker that an earlier process registered, unless a heartbeat
+ * has described the worker meanwhile.
+ */
 static void
 recall(struct enl *enl, const struct ks_item *item)
 {
@@ -148,11 +152,11 @@
 	}
 	if (!found)
 		enl->dirty = true;
-	proceed(enl);
+	sync_registration(enl);
 }
 
 static void
-proceed(struct enl *enl)
+sync_registration(struct enl *enl)
 {
 	const struct ks *ks = enl->opts.ks;
 
@@ -176,7 +180,7 @@
 	enl->opts = *opts;
 	enl->key = g_strconcat(ENL_PREFIX, opts->address, NULL);
 	enl->text = g_strdup("{}");
-	proceed(enl);
+	sync_registration(enl);
 	return enl;
 }
 
@@ -242,5 +246,5 @@
 	enl->text = text;
 	enl->dirty = true;
 	if (enl->read)
-		proceed(enl);
+		sync_registration(enl);
 }
--- a/src/process/enlist.h
+++ b/src/process/enlist.h
@@ -5,28 +5,28 @@
 #include "version/keyspace.h"
 
 /*
- * The agent's entry in the store: entries find its address there, and a
- * restarted agent finds the worker that it served, so that it need not wait
- * for a heartbeat.
+ * The agent's registration in the store.  Entries find the agent's address
+ * there.  A restarted agent reads from it which worker it served and need not
+ * wait for a heartbeat of that worker.
  */
 struct enl;
 
 struct enl_options {
 	const struct ks *ks; /* borrowed */
-	const char *address; /* "ip:port", as entries reach the agent */
-	/* The worker as an earlier process knew it; valid during the call. */
+	const char *address; /* "ip:port" at which entries reach the agent */
+	/* The worker registered by an earlier process; valid in the call. */
 	void (*recalled)(const struct wp_worker *worker, void *ctx);
 	void *ctx;
 };
 
-/* Reads the entry, or writes one without a worker. */
+/* Reads the registration, or writes one without a worker if there is none. */
 struct enl *enl_new(const struct enl_options *opts);
-/* The store must not answer any more after this. */
+/* Store calls in progress must not call back after this. */
 void enl_free(struct enl *enl);
-/* Writes the worker unless the entry holds it already. */
+/* Registers the worker unless its description is unchanged. */
 void enl_update(struct enl *enl, const struct wp_worker *worker);
 
-/* Prefix of all such keys; the address follows. */
+/* Key prefix of all registrations; the agent's address follows. */
 #define ENL_PREFIX "sequoiaplank/agents/"
 
 #endif
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -16,20 +16,20 @@
 #include "version/etcd.h"
 #include "version/reader.h"
 
-#define TICK_MS		20  /* deadlines, pauses of agents */
-#define SLOW_TICK_MS	200 /* retention, lost agents, gauges */
-#define GRACE_MS	250 /* a failing job waits for withdrawals */
-#define RESOLVE_MS	5000
-#define FORGET_MS	60000
-#define LINGER_MS	2000 /* after a drain, for answers not fetched */
-#define MAX_AGENTS	4096
-#define MAX_OUTSTANDING 200000U
-#define MAX_WAITERS	64
-#define MAX_REQUESTS	20000
-#define MAX_JOB_BYTES	(2ULL << 30) /* payloads and results held */
-#define RETRY_PERCENT	10
-#define RETRY_BURST	100
-#define RETRY_ATTEMPTS	3
+#define DISPATCH_TICK_MS       20    /* deadlines and silent agents */
+#define HOUSEKEEPING_TICK_MS   200   /* expires jobs and agents, sets gauges */
+#define WITHDRAWAL_GRACE_MS    250   /* to withdraw starts of a failing job */
+#define LOST_AGENT_OUTCOME_MS  5000  /* its open starts become unknown */
+#define LOST_AGENT_REMOVE_MS   60000 /* its record is removed */
+#define UNDELIVERED_WAIT_MS    2000  /* for callers to fetch results */
+#define MAX_AGENTS	       4096
+#define MAX_OUTSTANDING_STARTS 200000U
+#define MAX_WAITERS_PER_JOB    64
+#define MAX_HTTP_REQUESTS      20000
+#define MAX_JOB_BYTES	       (2ULL << 30) /* payloads and results */
+#define RETRY_PERCENT	       10
+#define RETRY_BURST	       100
+#define RETRY_ATTEMPTS	       3
 
 struct entry {
 	const struct set_entry *set;
@@ -62,43 +62,43 @@
 	struct ln *listener;
 	struct http *http;
 	struct ops *operators;
-	guint wake_id;
+	guint dispatch_id;
 	guint tick_id;
-	guint slow_tick_id;
+	guint housekeeping_id;
 	guint term_id;
 	guint int_id;
 	/* shutdown */
-	bool closing;
-	bool clean;
-	bool leaving;
-	int64_t closed_ms;
-	int64_t drained_ms; /* 0: requests are in progress */
+	bool shutting_down;
+	bool drained_in_time; /* no request was in progress at the end */
+	bool deregistering;
+	int64_t shutdown_ms;
+	int64_t drained_ms; /* no request in progress since; 0: some are */
 	int64_t *jobs_gauge, *job_bytes_gauge, *version_gauge, *age_gauge;
 	int64_t *outstanding_gauge;
 };
 
 static gboolean
-on_wake(gpointer data)
+run_dispatch(gpointer data)
 {
 	struct entry *entry = data;
 
-	entry->wake_id = 0;
+	entry->dispatch_id = 0;
 	dsp_run(entry->dispatch, clk_now_ms());
 	return G_SOURCE_REMOVE;
 }
 
 /*
- * Places after the events of this loop iteration, so that starts of one job
- * that became possible together go in one message.
+ * Schedules a dispatch after the pending events of this loop iteration, so
+ * that starts that these events make possible are sent in one message.
  */
 static void
-wake(void *ctx)
+schedule_dispatch(void *ctx)
 {
 	struct entry *entry = ctx;
 
-	if (entry->wake_id == 0)
-		entry->wake_id =
-		    g_idle_add_full(G_PRIORITY_DEFAULT, on_wake, entry, NULL);
+	if (entry->dispatch_id == 0)
+		entry->dispatch_id = g_idle_add_full(
+		    G_PRIORITY_DEFAULT, run_dispatch, entry, NULL);
 }
 
 /* Dispatch to agents. */
@@ -141,7 +141,7 @@
 	struct entry *entry = ctx;
 
 	pool_up(entry->pool, al, worker, clk_now_ms());
-	wake(entry);
+	schedule_dispatch(entry);
 }
 
 static void
@@ -167,7 +167,7 @@
 	struct entry *entry = ctx;
 
 	pool_load(entry->pool, al, load, unseen, clk_now_ms());
-	wake(entry);
+	schedule_dispatch(entry);
 }
 
 static void
@@ -178,7 +178,7 @@
 	dsp_outcome(entry->dispatch, al, result, clk_now_ms());
 }
 
-/* Facts for admission. */
+/* Input of admission decisions. */
 
 static bool
 is_live(const char *service, void *ctx)
@@ -198,7 +198,7 @@
 }
 
 static void
-fill_facts(const char *service, struct adm_facts *facts, void *ctx)
+fill_admission_facts(const char *service, struct adm_facts *facts, void *ctx)
 {
 	struct entry *entry = ctx;
 	int64_t now_ms = clk_now_ms();
@@ -218,11 +218,11 @@
 /* The other entries. */
 
 static enum api_owner
-find_owner(uint64_t incarnation, void *ctx)
+owner_state(uint64_t incarnation, void *ctx)
 {
 	struct entry *entry = ctx;
 
-	return peering_owner(entry->peering, incarnation);
+	return peering_owner_state(entry->peering, incarnation);
 }
 
 static bool
@@ -236,7 +236,7 @@
 }
 
 static const wire_member *
-member_list(size_t *n, uint64_t *digest, void *ctx)
+list_members(size_t *n, uint64_t *digest, void *ctx)
 {
 	struct entry *entry = ctx;
 
@@ -248,7 +248,7 @@
 {
 	struct entry *entry = ctx;
 
-	peering_update(entry->peering);
+	peering_update_members(entry->peering);
 }
 
 /* Configuration. */
@@ -258,10 +258,10 @@
 {
 	struct entry *entry = ctx;
 
-	log_line(LOG_NOTICE, "configuration version %" G_GUINT64_FORMAT,
+	log_line(LOG_NOTICE, "applied configuration version %" G_GUINT64_FORMAT,
 	    cfg_version(cfg));
 	pool_refresh(entry->pool, clk_now_ms());
-	wake(entry);
+	schedule_dispatch(entry);
 }
 
 /* Timers. */
@@ -278,7 +278,7 @@
 }
 
 static void
-on_left(void *ctx)
+on_deregistered(void *ctx)
 {
 	struct entry *entry = ctx;
 
@@ -286,38 +286,38 @@
 }
 
 static void
-leave(struct entry *entry, bool clean)
+deregister(struct entry *entry, bool drained_in_time)
 {
-	entry->leaving = true;
-	entry->clean = clean;
-	if (!clean)
+	entry->deregistering = true;
+	entry->drained_in_time = drained_in_time;
+	if (!drained_in_time)
 		log_line(LOG_WARNING,
-		    "%u jobs and %u requests in progress "
-		    "after the drain time",
+		    "drain timeout passed with %u jobs and "
+		    "%u requests in progress",
 		    job_table_open(entry->jobs), http_in_progress(entry->http));
 	chg_retire(entry->change);
-	mem_leave(entry->members, on_left, entry);
+	mem_leave(entry->members, on_deregistered, entry);
 }
 
 static void
-check_drained(struct entry *entry, int64_t now_ms)
+deregister_if_drained(struct entry *entry, int64_t now_ms)
 {
 	if (job_table_open(entry->jobs) > 0 ||
 	    http_in_progress(entry->http) > 0) {
 		entry->drained_ms = 0;
-		if (now_ms - entry->closed_ms >= entry->set->drain_timeout_ms)
-			leave(entry, false);
+		if (now_ms - entry->shutdown_ms >= entry->set->drain_timeout_ms)
+			deregister(entry, false);
 		return;
 	}
 	if (entry->drained_ms == 0)
 		entry->drained_ms = now_ms;
 	if (job_table_undelivered(entry->jobs) == 0 ||
-	    now_ms - entry->drained_ms >= LINGER_MS)
-		leave(entry, true);
+	    now_ms - entry->drained_ms >= UNDELIVERED_WAIT_MS)
+		deregister(entry, true);
 }
 
 static gboolean
-on_slow_tick(gpointer data)
+run_housekeeping(gpointer data)
 {
 	struct entry *entry = data;
 	int64_t now_ms = clk_now_ms();
@@ -330,22 +330,22 @@
 	*entry->version_gauge = (int64_t)fresh_version(entry->fresh);
 	*entry->age_gauge = fresh_age_ms(entry->fresh, now_ms);
 	rpc_export(entry->counters);
-	if (entry->closing && !entry->leaving)
-		check_drained(entry, now_ms);
+	if (entry->shutting_down && !entry->deregistering)
+		deregister_if_drained(entry, now_ms);
 	return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_term(gpointer data)
+on_shutdown_signal(gpointer data)
 {
 	struct entry *entry = data;
 
-	if (entry->closing)
+	if (entry->shutting_down)
 		return G_SOURCE_CONTINUE;
 	log_line(LOG_NOTICE, "shutting down, %u jobs in progress",
 	    job_table_open(entry->jobs));
-	entry->closing = true;
-	entry->closed_ms = clk_now_ms();
+	entry->shutting_down = true;
+	entry->shutdown_ms = clk_now_ms();
 	api_close(entry->api);
 	return G_SOURCE_CONTINUE;
 }
@@ -355,14 +355,14 @@
 {
 	struct entry *entry = ctx;
 
-	return !entry->closing && mem_is_registered(entry->members) &&
+	return !entry->shutting_down && mem_is_registered(entry->members) &&
 	       fresh_is_current(entry->fresh, clk_now_ms());
 }
 
 /* Construction. */
 
 static void
-make_version(struct entry *entry)
+make_configuration(struct entry *entry)
 {
 	const struct set_entry *set = entry->set;
 	struct etcd_options etcd = {
@@ -422,11 +422,11 @@
 	struct dsp_options dispatch = {
 	    .fresh = entry->fresh,
 	    .counters = entry->counters,
-	    .max_outstanding = MAX_OUTSTANDING,
-	    .grace_ms = GRACE_MS,
+	    .max_outstanding = MAX_OUTSTANDING_STARTS,
+	    .grace_ms = WITHDRAWAL_GRACE_MS,
 	    .start = send_starts,
 	    .withdraw = send_withdraw,
-	    .wake = wake,
+	    .wake = schedule_dispatch,
 	    .ended = on_job_ended,
 	    .ctx = entry,
 	};
@@ -450,7 +450,7 @@
 	    .max_jobs = set->max_jobs,
 	    .max_answer_bytes = set->max_answer_bytes,
 	    .max_bytes = MAX_JOB_BYTES,
-	    .max_waiters = MAX_WAITERS,
+	    .max_waiters = MAX_WAITERS_PER_JOB,
 	    .retention_ms = set->job_retention_s * 1000,
 	};
 	struct api_options api = {
@@ -460,8 +460,8 @@
 	    .counters = entry->counters,
 	    .traces = entry->traces,
 	    .limits = {set->max_tasks, WIRE_PAYLOAD_MAX},
-	    .facts = fill_facts,
-	    .owner = find_owner,
+	    .facts = fill_admission_facts,
+	    .owner = owner_state,
 	    .forward = forward,
 	    .ctx = entry,
 	};
@@ -488,10 +488,10 @@
 	    .counters = entry->counters,
 	    .max_agents = MAX_AGENTS,
 	    .silence_ms = set->silence_ms,
-	    .resolve_ms = RESOLVE_MS,
-	    .forget_ms = FORGET_MS,
+	    .resolve_ms = LOST_AGENT_OUTCOME_MS,
+	    .forget_ms = LOST_AGENT_REMOVE_MS,
 	    .next_seq = next_seq,
-	    .members = member_list,
+	    .members = list_members,
 	    .up = on_agent_up,
 	    .down = on_agent_down,
 	    .gone = on_agent_gone,
@@ -544,8 +544,8 @@
 	    status, "jobs", json_object_new_int64(job_table_open(entry->jobs)));
 	json_object_object_add(status, "starts_outstanding",
 	    json_object_new_int64(dsp_outstanding(entry->dispatch)));
-	json_object_object_add(
-	    status, "shutting_down", json_object_new_boolean(entry->closing));
+	json_object_object_add(status, "shutting_down",
+	    json_object_new_boolean(entry->shutting_down));
 }
 
 static char *
@@ -594,7 +594,7 @@
 	    .counters = entry->counters,
 	    .traces = entry->traces,
 	    .max_body_bytes = entry->set->max_body_bytes,
-	    .max_requests = MAX_REQUESTS,
+	    .max_requests = MAX_HTTP_REQUESTS,
 	    .is_ready = is_ready,
 	    .ctx = entry,
 	};
@@ -611,14 +611,14 @@
 	entry->http = http_new(&http, st);
 	if (entry->http == NULL)
 		return false;
-	entry->tick_id = g_timeout_add(TICK_MS, on_tick, entry);
-	entry->slow_tick_id = g_timeout_add(SLOW_TICK_MS, on_slow_tick, entry);
-	entry->term_id = g_unix_signal_add(SIGTERM, on_term, entry);
-	entry->int_id = g_unix_signal_add(SIGINT, on_term, entry);
+	entry->tick_id = g_timeout_add(DISPATCH_TICK_MS, on_tick, entry);
+	entry->housekeeping_id =
+	    g_timeout_add(HOUSEKEEPING_TICK_MS, run_housekeeping, entry);
+	entry->term_id = g_unix_signal_add(SIGTERM, on_shutdown_signal, entry);
+	entry->int_id = g_unix_signal_add(SIGINT, on_shutdown_signal, entry);
 	return true;
 }
 
-/* Makes every object and opens the listeners. */
 struct entry *
 entry_new(const struct set_entry *set, struct status *st)
 {
@@ -634,7 +634,7 @@
 	entry->self.failure_domain = set->failure_domain;
 	entry->self.address = set->rpc_address;
 	make_gauges(entry);
-	make_version(entry);
+	make_configuration(entry);
 	make_placement(entry);
 	make_requests(entry);
 	make_connections(entry);
@@ -645,22 +645,21 @@
 	return entry;
 }
 
-/* Runs the main loop. */
 bool
 entry_run(struct entry *entry)
 {
 	g_main_loop_run(entry->loop);
-	return entry->clean;
+	return entry->drained_in_time;
 }
 
 static void
 clear_sources(struct entry *entry)
 {
 	g_clear_handle_id(&entry->tick_id, g_source_remove);
-	g_clear_handle_id(&entry->slow_tick_id, g_source_remove);
+	g_clear_handle_id(&entry->housekeeping_id, g_source_remove);
 	g_clear_handle_id(&entry->term_id, g_source_remove);
 	g_clear_handle_id(&entry->int_id, g_source_remove);
-	g_clear_handle_id(&entry->wake_id, g_source_remove);
+	g_clear_handle_id(&entry->dispatch_id, g_source_remove);
 }
 
 static void
@@ -675,13 +674,12 @@
 	al_set_free(entry->agents);
 }
 
-/* Closes everything; requests in progress get no answer. */
 void
 entry_free(struct entry *entry)
 {
 	clear_sources(entry);
 	close_connections(entry);
-	g_clear_handle_id(&entry->wake_id, g_source_remove);
+	g_clear_handle_id(&entry->dispatch_id, g_source_remove);
 	pass_free(entry->pass);
 	api_free(entry->api);
 	dsp_free(entry->dispatch);
--- a/src/process/events.c
+++ b/src/process/events.c
@@ -10,26 +10,25 @@
 #include "process/clock.h"
 #include "process/events.h"
 
-#define LINE_MAX_BYTES 2048
-#define SECOND_MS      1000
+#define EVENT_MAX_BYTES 2048
+#define MS_PER_S	1000
 
-/* Lines of one kind in the current second. */
-struct kind {
+/* Rate limit of one event type. */
+struct event_rate {
 	int64_t second;
-	uint32_t lines;
-	uint64_t left_out; /* since the last line written */
+	uint32_t lines;	       /* written in this second */
+	uint64_t n_suppressed; /* suppressed since the last line written */
 };
 
 static struct {
 	struct evt_options opts;
 	char *node;
-	GHashTable *kinds; /* name to struct kind */
+	GHashTable *rates; /* event type to struct event_rate */
 	bool open;
 	uint64_t suppressed;
 	uint64_t dropped;
 } log_state;
 
-/* Lines written before this go nowhere. */
 void
 evt_open(const struct evt_options *opts)
 {
@@ -40,7 +39,7 @@
 		fcntl(opts->fd, F_SETFL, flags | O_NONBLOCK);
 	log_state.opts = *opts;
 	log_state.node = g_strdup(opts->node);
-	log_state.kinds =
+	log_state.rates =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	log_state.suppressed = 0;
 	log_state.dropped = 0;
@@ -53,27 +52,27 @@
 	if (!log_state.open)
 		return;
 	log_state.open = false;
-	g_clear_pointer(&log_state.kinds, g_hash_table_unref);
+	g_clear_pointer(&log_state.rates, g_hash_table_unref);
 	g_clear_pointer(&log_state.node, g_free);
 }
 
-static struct kind *
-kind_of(const char *name, int64_t now_ms)
+static struct event_rate *
+current_rate(const char *event, int64_t now_ms)
 {
-	struct kind *kind = g_hash_table_lookup(log_state.kinds, name);
+	struct event_rate *rate = g_hash_table_lookup(log_state.rates, event);
 
-	if (kind == NULL) {
-		kind = g_new0(struct kind, 1);
-		g_hash_table_insert(log_state.kinds, g_strdup(name), kind);
+	if (rate == NULL) {
+		rate = g_new0(struct event_rate, 1);
+		g_hash_table_insert(log_state.rates, g_strdup(event), rate);
 	}
-	if (kind->second != now_ms / SECOND_MS) {
-		kind->second = now_ms / SECOND_MS;
-		kind->lines = 0;
+	if (rate->second != now_ms / MS_PER_S) {
+		rate->second = now_ms / MS_PER_S;
+		rate->lines = 0;
 	}
-	return kind;
+	return rate;
 }
 
-/* A partly written line would spoil the next, so short writes are ended. */
+/* Ends a line that was written in part, so that the next one stays valid. */
 static void
 write_line(const char *line, size_t len)
 {
@@ -87,34 +86,34 @@
 }
 
 void
-evt_write(const char *name, const char *fields, ...)
+evt_write(const char *event, const char *fields, ...)
 {
-	char line[LINE_MAX_BYTES];
+	char line[EVENT_MAX_BYTES];
 	int64_t now_ms = clk_now_ms();
-	struct kind *kind;
+	struct event_rate *rate;
 	va_list ap;
-	int n, more;
+	int n, fields_len;
 
 	if (!log_state.open)
 		return;
-	kind = kind_of(name, now_ms);
-	if (kind->lines >= log_state.opts.lines_per_s) {
-		kind->left_out++;
+	rate = current_rate(event, now_ms);
+	if (rate->lines >= log_state.opts.lines_per_s) {
+		rate->n_suppressed++;
 		log_state.suppressed++;
 		return;
 	}
-	kind->lines++;
+	rate->lines++;
 	n = snprintf(line, sizeof(line),
 	    "{\"ms\":%" G_GINT64_FORMAT ",\"role\":\"%s\",\"node\":\"%s\","
 	    "\"event\":\"%s\",\"left_out\":%" G_GUINT64_FORMAT ",",
-	    clk_wall_ms(), log_state.opts.role, log_state.node, name,
-	    kind->left_out);
-	kind->left_out = 0;
+	    clk_wall_ms(), log_state.opts.role, log_state.node, event,
+	    rate->n_suppressed);
+	rate->n_suppressed = 0;
 	va_start(ap, fields);
-	more = vsnprintf(line + n, sizeof(line) - (size_t)n, fields, ap);
+	fields_len = vsnprintf(line + n, sizeof(line) - (size_t)n, fields, ap);
 	va_end(ap);
-	n += more;
-	if (more < 0 || n + 3 > (int)sizeof(line)) {
+	n += fields_len;
+	if (fields_len < 0 || n + 3 > (int)sizeof(line)) {
 		log_state.dropped++;
 		return;
 	}
--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -9,25 +9,25 @@
 #include "process/log.h"
 #include "request/runqueue.h"
 
-#define TICK_MS		20 /* returns queued tasks at their deadline */
-#define DEADLINE_MAX_MS 86400000
-#define NS_PER_MS	1000000
-#define NS_PER_US	1000
-#define US_PER_MS	1000
-#define QUEUE_MAX_BYTES 67108864
+#define DEADLINE_CHECK_MS 20 /* interval of checks for passed deadlines */
+#define DEADLINE_MAX_MS	  86400000
+#define NS_PER_MS	  1000000
+#define NS_PER_US	  1000
+#define US_PER_MS	  1000
+#define QUEUE_MAX_BYTES	  67108864
 
 enum { N_OUTCOMES = WIRE_UNKNOWN + 1, N_REASONS = WIRE_REASON_TOO_LARGE + 1 };
 
 struct task {
-	struct rq_task rq; /* first, so that it converts */
+	struct rq_task rq; /* must be first: pointers to it are cast */
 	struct ex *ex;
 	struct wire_start start;
 	struct trc_context span;
 	struct trc_context call_span;
 	int64_t accepted_ns;
 	int64_t accepted_wall_ms;
-	int64_t called_ns;
-	int64_t called_wall_ms;
+	int64_t call_start_ns;
+	int64_t call_start_wall_ms;
 };
 
 struct ex {
@@ -51,7 +51,7 @@
 }
 
 static int64_t *
-labelled(struct ctr_registry *reg, const char *name, const char *label,
+labelled_counter(struct ctr_registry *reg, const char *name, const char *label,
     const char *value, const char *help)
 {
 	char *full = g_strdup_printf("%s{%s=\"%s\"}", name, label, value);
@@ -75,15 +75,14 @@
 	ex->starts = ctr_counter(
 	    reg, "sp_endpoint_calls_total", "Calls made to the endpoint.");
 	for (i = 0; i < N_OUTCOMES; i++)
-		ex->outcomes[i] = labelled(reg, "sp_results_total", "outcome",
-		    outcomes[i], "Starts by their outcome.");
+		ex->outcomes[i] = labelled_counter(reg, "sp_results_total",
+		    "outcome", outcomes[i], "Starts by their outcome.");
 	for (i = 0; i < N_REASONS; i++)
 		ex->reasons[i] =
-		    labelled(reg, "sp_result_reasons_total", "reason",
+		    labelled_counter(reg, "sp_result_reasons_total", "reason",
 			reasons[i], "Starts by the reason of their outcome.");
 }
 
-/* Makes an executor with an empty queue. */
 struct ex *
 ex_new(const struct ex_options *opts)
 {
@@ -99,7 +98,6 @@
 	return ex;
 }
 
-/* Frees the executor with its tasks. */
 void
 ex_free(struct ex *ex)
 {
@@ -143,7 +141,7 @@
 }
 
 static void
-count(struct ex *ex, enum wire_outcome outcome, enum wire_reason reason)
+count_outcome(struct ex *ex, enum wire_outcome outcome, enum wire_reason reason)
 {
 	(*ex->outcomes[outcome])++;
 	if (reason != WIRE_REASON_NONE)
@@ -159,14 +157,14 @@
 	    task->start.task_id);
 }
 
-/* Ends a task that was accepted and will not run. */
+/* Records an accepted task as not started and frees it. */
 static void
 return_task(struct task *task, enum wire_reason reason)
 {
 	struct ex *ex = task->ex;
 
 	out_not_started(ex->opts.out, task->rq.entry, task->rq.seq, reason);
-	count(ex, WIRE_NOT_STARTED, reason);
+	count_outcome(ex, WIRE_NOT_STARTED, reason);
 	finish_span(task, false);
 	ex->opts.on_results(task->rq.entry, ex->opts.ctx);
 	task_free(task);
@@ -181,20 +179,21 @@
 
 	rq_finished(ex->rq);
 	ann_call_ended(ex->opts.ann, clk_now_ms());
-	count(ex, result->outcome, result->reason);
+	count_outcome(ex, result->outcome, result->reason);
 	trc_finish(ex->opts.traces, &task->call_span, "endpoint",
-	    task->called_wall_ms * US_PER_MS,
-	    (clk_now_ns() - task->called_ns) / NS_PER_US, ok,
+	    task->call_start_wall_ms * US_PER_MS,
+	    (clk_now_ns() - task->call_start_ns) / NS_PER_US, ok,
 	    task->start.task_id);
 	finish_span(task, ok);
-	result->queued_us = (task->called_ns - task->accepted_ns) / NS_PER_US;
+	result->queued_us =
+	    (task->call_start_ns - task->accepted_ns) / NS_PER_US;
 	out_finish(ex->opts.out, task->rq.entry, result);
 	ex->opts.on_results(task->rq.entry, ex->opts.ctx);
 	task_free(task);
-	ex_pump(ex);
+	ex_run_queue(ex);
 }
 
-/* Calls the endpoint.  The checks were made at now_ms. */
+/* Calls the endpoint; now_ms is the time of the checks of the start. */
 static void
 call_endpoint(struct task *task, int64_t now_ms)
 {
@@ -215,8 +214,8 @@
 	trc_format(&task->span, parent);
 	trc_start(&task->call_span, parent);
 	trc_format(&task->call_span, traceparent);
-	task->called_ns = clk_now_ns();
-	task->called_wall_ms = clk_wall_ms();
+	task->call_start_ns = clk_now_ns();
+	task->call_start_wall_ms = clk_wall_ms();
 	(*ex->starts)++;
 	out_running(ex->opts.out, task->rq.entry, task->rq.seq);
 	ep_call(ex->ep, &request, on_call_done, task);
@@ -228,13 +227,12 @@
 	struct ex *ex = data;
 
 	ex->tick_id = 0;
-	ex_pump(ex);
+	ex_run_queue(ex);
 	return G_SOURCE_REMOVE;
 }
 
-/* Returns what can't run any more and starts what can. */
 void
-ex_pump(struct ex *ex)
+ex_run_queue(struct ex *ex)
 {
 	enum wire_reason reason;
 	struct rq_gate gate;
@@ -242,7 +240,7 @@
 	int64_t now_ms;
 
 	for (;;) {
-		/* Read again for each start: the checks hold at its moment. */
+		/* Each start is checked against the current conditions. */
 		now_ms = clk_now_ms();
 		fill_gate(ex, &gate, now_ms);
 		task = rq_step(ex->rq, &gate, now_ms, &reason);
@@ -254,10 +252,10 @@
 			return_task((struct task *)task, reason);
 	}
 	if (rq_queued(ex->rq) > 0 && ex->tick_id == 0)
-		ex->tick_id = g_timeout_add(TICK_MS, on_tick, ex);
+		ex->tick_id = g_timeout_add(DEADLINE_CHECK_MS, on_tick, ex);
 }
 
-/* Takes the contents of start. */
+/* Takes over the contents of start, which is zeroed. */
 static struct task *
 task_new(struct ex *ex, uint64_t entry, struct wire_start *start)
 {
@@ -293,7 +291,6 @@
 		return_task(task, reason);
 }
 
-/* Takes a batch of starts from an entry. */
 bool
 ex_start(struct ex *ex, uint64_t entry, struct wire_start_args *args)
 {
@@ -311,11 +308,10 @@
 		else if (verdict == OUT_OVERFLOW)
 			break;
 	}
-	ex_pump(ex);
+	ex_run_queue(ex);
 	return verdict != OUT_OVERFLOW;
 }
 
-/* Returns the named starts that still wait; running ones go on. */
 void
 ex_withdraw(
     struct ex *ex, uint64_t entry, const struct wire_withdraw_args *args)
@@ -331,7 +327,6 @@
 	}
 }
 
-/* Seals, then reports the state of each seq asked for. */
 void
 ex_query(struct ex *ex, uint64_t entry, const struct wire_query_args *args,
     wire_state *states)
@@ -345,9 +340,8 @@
 	ex->opts.on_results(entry, ex->opts.ctx);
 }
 
-/* Drops the queue of an entry incarnation that ended. */
 void
-ex_drop(struct ex *ex, uint64_t entry)
+ex_return_queued(struct ex *ex, uint64_t entry)
 {
 	struct rq_task *task;
 
@@ -355,17 +349,15 @@
 		return_task((struct task *)task, WIRE_REASON_WITHDRAWN);
 }
 
-/* Refuses new starts and returns the queued ones. */
 void
 ex_drain(struct ex *ex)
 {
 	ex->draining = true;
-	ex_pump(ex);
+	ex_run_queue(ex);
 }
 
-/* Describes the load at this moment. */
 void
-ex_load(struct ex *ex, struct wire_load *load)
+ex_get_load(struct ex *ex, struct wire_load *load)
 {
 	struct rq_gate gate;
 
@@ -373,7 +365,6 @@
 	rq_load(ex->rq, &gate, load);
 }
 
-/* Returns the number of open calls to the endpoint. */
 uint32_t
 ex_running(const struct ex *ex)
 {
--- a/src/process/executor.h
+++ b/src/process/executor.h
@@ -12,15 +12,16 @@
 #include "version/fresh.h"
 
 /*
- * Takes starts from entries, queues them, makes the checks at the moment of
- * each start, calls the endpoint and records the results.
+ * Executes starts at the endpoint: queues the starts that entries send, checks
+ * for each one whether it may still run, calls the endpoint and records the
+ * result.
  */
 struct ex;
 
-/* Results for this entry incarnation wait to be sent. */
+/* Called when there are results to send to this entry incarnation. */
 typedef void (*ex_results_fn)(uint64_t entry, void *ctx);
 
-/* Everything referred to outlives the executor. */
+/* Everything that the pointers refer to must outlive the executor. */
 struct ex_options {
 	const char *worker;
 	const char *failure_domain;
@@ -37,22 +38,34 @@
 };
 
 struct ex *ex_new(const struct ex_options *opts);
-/* Queued tasks are dropped and open calls cancelled. */
+/* Drops queued tasks and cancels open calls; no results are recorded. */
 void ex_free(struct ex *ex);
 
-/* Takes contents of args; false: no room for refusals, close the connection. */
+/*
+ * Queues or refuses a batch of starts; takes over contents of args.  False
+ * when there is no room left to record refusals: close the connection.
+ */
 bool ex_start(struct ex *ex, uint64_t entry, struct wire_start_args *args);
+/* Returns the listed starts that are still queued as not started. */
 void ex_withdraw(
     struct ex *ex, uint64_t entry, const struct wire_withdraw_args *args);
+/*
+ * Refuses from now on every unrecorded start below args->next_seq, and fills
+ * states with the state of each start in args->seqs.
+ */
 void ex_query(struct ex *ex, uint64_t entry, const struct wire_query_args *args,
     wire_state *states);
-/* Returns the queued starts of an entry incarnation as not started. */
-void ex_drop(struct ex *ex, uint64_t entry);
-/* From now on no task starts. */
+/* Returns all queued starts of an entry incarnation as not started. */
+void ex_return_queued(struct ex *ex, uint64_t entry);
+/* Returns the queued starts as not started and refuses new ones. */
 void ex_drain(struct ex *ex);
-/* Starts what can start; call after a change of the conditions. */
-void ex_pump(struct ex *ex);
-void ex_load(struct ex *ex, struct wire_load *load);
+/*
+ * Starts queued tasks while slots are free, and returns those that may not run
+ * any more.  Call it whenever a condition of starts has changed.
+ */
+void ex_run_queue(struct ex *ex);
+void ex_get_load(struct ex *ex, struct wire_load *load);
+/* Number of open calls to the endpoint. */
 uint32_t ex_running(const struct ex *ex);
 
 #endif
--- a/src/process/histogram.c
+++ b/src/process/histogram.c
@@ -2,20 +2,20 @@
 
 #include "process/histogram.h"
 
-/* Upper bounds; tasks take from 50 ms to a few seconds. */
+/* Bucket bounds for run times of tasks, from 50 ms to a few seconds. */
 static const int64_t bounds_ms[] = {10, 25, 50, 100, 150, 200, 300, 400, 600,
     800, 1200, 1600, 2400, 3200, 6400};
 
 #define N_BOUNDS G_N_ELEMENTS(bounds_ms)
 
 struct hst {
-	int64_t *buckets[N_BOUNDS + 1]; /* the last one has no bound */
+	int64_t *buckets[N_BOUNDS + 1]; /* the last one is +Inf */
 	int64_t *sum;
 	int64_t *count;
 };
 
 static int64_t *
-bucket(struct ctr_registry *reg, const char *name, const char *help,
+bucket_counter(struct ctr_registry *reg, const char *name, const char *help,
     const char *bound)
 {
 	g_autofree char *full =
@@ -36,15 +36,14 @@
 		g_autofree char *bound =
 		    g_strdup_printf("%" G_GINT64_FORMAT, bounds_ms[i]);
 
-		h->buckets[i] = bucket(reg, name, help, bound);
+		h->buckets[i] = bucket_counter(reg, name, help, bound);
 	}
-	h->buckets[N_BOUNDS] = bucket(reg, name, help, "+Inf");
+	h->buckets[N_BOUNDS] = bucket_counter(reg, name, help, "+Inf");
 	h->sum = ctr_counter(reg, sum, help);
 	h->count = ctr_counter(reg, count, help);
 	return h;
 }
 
-/* The counters stay in their registry. */
 void
 hst_free(struct hst *h)
 {
--- a/src/process/histogram.h
+++ b/src/process/histogram.h
@@ -5,10 +5,13 @@
 
 #include "process/counters.h"
 
-/* A cumulative histogram of durations among the counters of a process. */
+/* A histogram of durations, kept in counters of a registry. */
 struct hst;
 
-/* Served as NAME_bucket{le="..."}, NAME_sum and NAME_count; milliseconds. */
+/*
+ * Adds the counters NAME_bucket{le="..."}, which are cumulative, NAME_sum and
+ * NAME_count, in milliseconds.  They stay in the registry after hst_free().
+ */
 struct hst *hst_new(
     struct ctr_registry *reg, const char *name, const char *help);
 void hst_free(struct hst *histogram);
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -10,20 +10,24 @@
 #include "process/jobagent.h"
 #include "request/ledger.h"
 
-#define TICK_MS	       50
-#define MAX_QUEUE      4096
-#define UPDATE_MS      4  /* results that come together share a message */
-#define ROOM_UPDATE_MS 15 /* room alone is told less often */
-/* A heartbeat is answered unless something was sent this recently. */
-#define QUIET_MS 200
-/* A longer pause of this process, and every session is of unknown age. */
-#define SILENCE_MS 800
-
-/* Results for one entry, not sent yet. */
+#define JA_TICK_MS	   50
+#define MAX_QUEUED_STARTS  4096
+#define RESULT_UPDATE_MS   4  /* batches results that arrive close together */
+#define CAPACITY_UPDATE_MS 15 /* for changes of free capacity only */
+/* An update answers a heartbeat if the last one was sent longer ago. */
+#define HEARTBEAT_REPLY_MS 200
+/*
+ * A session without input for longer is closed.  If this process was paused
+ * for longer, the entry may have given up the session, so its buffered calls
+ * must not be processed.
+ */
+#define ENTRY_SILENCE_MS 800
+
+/* Results and the worker's description that an entry has yet to be sent. */
 struct outbox {
 	GArray *results; /* run_result, strings owned */
-	bool worker;	 /* the description of the worker goes first */
-	int64_t sent_ms;
+	bool worker_due; /* send the worker's description first */
+	int64_t sent_ms; /* time of the last update */
 };
 
 struct ja {
@@ -32,9 +36,9 @@
 	struct hold *hold;
 	struct ses *ses;
 	struct enl *enlist;
-	GHashTable *outboxes; /* session to struct outbox */
-	GHashTable *out;      /* failure domains that are out */
-	int64_t out_revision;
+	GHashTable *outboxes;	 /* session to struct outbox */
+	GHashTable *out_domains; /* failure domains out of service */
+	int64_t out_revision;	 /* store revision of that list */
 	char *service;
 	char *failure_domain;
 	char **labels;
@@ -42,11 +46,11 @@
 	bool draining_worker;
 	bool draining;
 	bool drained;
-	bool closed; /* no call may be made */
+	bool calls_disabled; /* no calls to the worker */
 	int64_t drain_deadline_ms;
 	guint tick_id;
 	guint update_id;
-	bool update_soon;
+	bool update_urgent;
 	int64_t *starts, *done, *failed, *lost, *refused, *stalled;
 	int64_t *sessions_lost;
 	struct hst *run_times;
@@ -89,7 +93,7 @@
 	};
 }
 
-/* Whether the worker takes tasks now, and why not. */
+/* Tells whether starts are accepted; if not, sets *reason. */
 static bool
 is_accepting(const struct ja *ja, const char **reason)
 {
@@ -99,7 +103,7 @@
 		*reason = "worker is draining";
 	else if (!hold_is_ready(ja->hold))
 		*reason = "worker is not ready";
-	else if (g_hash_table_contains(ja->out, ja->failure_domain))
+	else if (g_hash_table_contains(ja->out_domains, ja->failure_domain))
 		*reason = "failure domain is out";
 	else
 		return true;
@@ -132,9 +136,9 @@
 
 	if (box == NULL)
 		return;
-	if (box->worker)
+	if (box->worker_due)
 		send_worker(ja, session);
-	box->worker = false;
+	box->worker_due = false;
 	led_room(ja->led, &room);
 	args = (run_update_args){
 	    .results = {box->results->len, (run_result *)box->results->data},
@@ -148,7 +152,7 @@
 }
 
 static gboolean
-on_update(gpointer data)
+send_updates(gpointer data)
 {
 	struct ja *ja = data;
 	g_autofree uint64_t *ids = NULL;
@@ -162,26 +166,26 @@
 }
 
 static void
-update_later(struct ja *ja, bool soon)
+schedule_update(struct ja *ja, bool urgent)
 {
-	if (ja->update_id != 0 && (ja->update_soon || !soon))
+	if (ja->update_id != 0 && (ja->update_urgent || !urgent))
 		return;
 	g_clear_handle_id(&ja->update_id, g_source_remove);
-	ja->update_soon = soon;
-	ja->update_id =
-	    g_timeout_add(soon ? UPDATE_MS : ROOM_UPDATE_MS, on_update, ja);
+	ja->update_urgent = urgent;
+	ja->update_id = g_timeout_add(
+	    urgent ? RESULT_UPDATE_MS : CAPACITY_UPDATE_MS, send_updates, ja);
 }
 
 static void
-describe_again(struct ja *ja)
+resend_worker(struct ja *ja)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, ja->outboxes);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		((struct outbox *)value)->worker = true;
-	update_later(ja, true);
+		((struct outbox *)value)->worker_due = true;
+	schedule_update(ja, true);
 }
 
 static void
@@ -196,10 +200,10 @@
 	    entry, session);
 	box->results = g_array_new(FALSE, FALSE, sizeof(run_result));
 	g_array_set_clear_func(box->results, result_clear);
-	box->worker = true;
+	box->worker_due = true;
 	g_hash_table_insert(
 	    ja->outboxes, g_memdup2(&session, sizeof(session)), box);
-	update_later(ja, true);
+	schedule_update(ja, true);
 }
 
 static void
@@ -214,7 +218,7 @@
 	++*ja->sessions_lost;
 	led_end_session(ja->led, session, clk_now_ms());
 	g_hash_table_remove(ja->outboxes, &session);
-	update_later(ja, false);
+	schedule_update(ja, false);
 }
 
 static void
@@ -243,7 +247,7 @@
 			start.start_by_ms = now_ms - 1;
 		led_submit(ja->led, &start, now_ms);
 	}
-	update_later(ja, false);
+	schedule_update(ja, false);
 }
 
 static void
@@ -255,34 +259,35 @@
 	for (i = 0; i < args->seqs.seqs_len; i++)
 		led_cancel(
 		    ja->led, session, args->seqs.seqs_val[i], clk_now_ms());
-	update_later(ja, false);
+	schedule_update(ja, false);
 }
 
-/* An entry gives up an agent that says nothing. */
+/* Entries disconnect from an agent that sends nothing for too long. */
 static void
-answer_beat(struct ja *ja, uint64_t session)
+answer_heartbeat(struct ja *ja, uint64_t session)
 {
 	const struct outbox *box = g_hash_table_lookup(ja->outboxes, &session);
 
-	if (box != NULL && clk_now_ms() - box->sent_ms > QUIET_MS)
+	if (box != NULL && clk_now_ms() - box->sent_ms > HEARTBEAT_REPLY_MS)
 		send_update(ja, session);
 }
 
-/* The newest list of any entry is in force. */
+/* Applies the newest list of failure domains that any entry has sent. */
 static void
 on_beat(uint64_t session, const struct run_beat_args *args, void *ctx)
 {
 	struct ja *ja = ctx;
 	uint32_t i;
 
-	answer_beat(ja, session);
+	answer_heartbeat(ja, session);
 	if (args->revision <= ja->out_revision)
 		return;
 	ja->out_revision = args->revision;
-	g_hash_table_remove_all(ja->out);
+	g_hash_table_remove_all(ja->out_domains);
 	for (i = 0; i < args->out.out_len; i++)
-		g_hash_table_add(ja->out, g_strdup(args->out.out_val[i]));
-	update_later(ja, true);
+		g_hash_table_add(
+		    ja->out_domains, g_strdup(args->out.out_val[i]));
+	schedule_update(ja, true);
 }
 
 static bool
@@ -297,16 +302,16 @@
 	return is_accepting(ja, reason);
 }
 
-/* A call about one run at the worker. */
-struct run_call {
+/* Context of a call to the worker about one run. */
+struct run_context {
 	struct ja *ja;
 	int64_t run;
 };
 
-static struct run_call *
-run_call(struct ja *ja, int64_t run)
+static struct run_context *
+run_context(struct ja *ja, int64_t run)
 {
-	struct run_call *call = g_new0(struct run_call, 1);
+	struct run_context *call = g_new0(struct run_context, 1);
 
 	call->ja = ja;
 	call->run = run;
@@ -316,7 +321,7 @@
 static void
 on_started(const struct wp_answer *answer, void *ctx)
 {
-	struct run_call *call = ctx;
+	struct run_context *call = ctx;
 
 	led_started(call->ja->led, call->run, answer, clk_now_ms());
 	g_free(call);
@@ -325,7 +330,7 @@
 static void
 on_stopped(const struct wp_answer *answer, void *ctx)
 {
-	struct run_call *call = ctx;
+	struct run_context *call = ctx;
 
 	led_stopped(call->ja->led, call->run, answer->verdict, clk_now_ms());
 	g_free(call);
@@ -336,10 +341,10 @@
 {
 	struct ja *ja = ctx;
 
-	if (ja->closed)
+	if (ja->calls_disabled)
 		return;
 	++*ja->starts;
-	hold_start(ja->hold, task, spec, run, on_started, run_call(ja, run));
+	hold_start(ja->hold, task, spec, run, on_started, run_context(ja, run));
 }
 
 static void
@@ -347,15 +352,15 @@
 {
 	struct ja *ja = ctx;
 
-	if (ja->closed)
+	if (ja->calls_disabled)
 		return;
 	evt_write(
 	    "stop", "\"task\":\"%s\",\"run\":%" G_GINT64_FORMAT, task, run);
-	hold_stop(ja->hold, task, run, on_stopped, run_call(ja, run));
+	hold_stop(ja->hold, task, run, on_stopped, run_context(ja, run));
 }
 
 static void
-look_again(void *ctx)
+request_report(void *ctx)
 {
 	struct ja *ja = ctx;
 
@@ -407,7 +412,7 @@
 	};
 
 	count_result(ja, result);
-	update_later(ja, box != NULL);
+	schedule_update(ja, box != NULL);
 	if (box == NULL)
 		return;
 	message.reason = g_strdup(result->reason);
@@ -443,7 +448,7 @@
 {
 	struct ja *ja = ctx;
 
-	describe_again(ja);
+	resend_worker(ja);
 	led_pump(ja->led, clk_now_ms());
 }
 
@@ -455,7 +460,7 @@
 	if (led_active(ja->led) > 0 && clk_now_ms() < ja->drain_deadline_ms)
 		return;
 	ja->drained = true;
-	on_update(ja);
+	send_updates(ja);
 	ja->opts.drained(ja->opts.ctx);
 }
 
@@ -491,14 +496,14 @@
 }
 
 static void
-make_parts(struct ja *ja)
+make_run_state(struct ja *ja)
 {
 	struct led_options led = {
-	    .max_queue = MAX_QUEUE,
+	    .max_queue = MAX_QUEUED_STARTS,
 	    .may_start = may_start,
 	    .start = start_run,
 	    .stop = stop_run,
-	    .look = look_again,
+	    .look = request_report,
 	    .result = on_result,
 	    .ctx = ja,
 	};
@@ -530,7 +535,7 @@
 }
 
 static bool
-take_worker(struct ja *ja, const struct wp_worker *worker)
+apply_worker(struct ja *ja, const struct wp_worker *worker)
 {
 	bool changed = worker->draining != ja->draining_worker ||
 		       g_strcmp0(worker->service, ja->service) != 0;
@@ -547,12 +552,15 @@
 	g_strfreev(ja->labels);
 	ja->labels = copy_labels(worker);
 	if (changed)
-		describe_again(ja);
+		resend_worker(ja);
 	led_pump(ja->led, clk_now_ms());
 	return true;
 }
 
-/* Whether the worker still lives is up to its answers. */
+/*
+ * Serves the worker that this agent's store entry names.  Whether it is still
+ * alive shows in its answers to the calls that follow.
+ */
 static void
 on_recalled(const struct wp_worker *worker, void *ctx)
 {
@@ -560,11 +568,11 @@
 
 	evt_write("worker", "\"instance\":\"%s\",\"state\":\"recalled\"",
 	    worker->instance);
-	take_worker(ja, worker);
+	apply_worker(ja, worker);
 }
 
 static void
-enlist(struct ja *ja)
+register_agent(struct ja *ja)
 {
 	struct enl_options opts = {
 	    .ks = ja->opts.ks,
@@ -576,14 +584,13 @@
 	ja->enlist = enl_new(&opts);
 }
 
-/* Makes the agent and listens for entries. */
 struct ja *
 ja_new(const struct ja_options *opts, struct status *st)
 {
 	struct ja *ja = g_new0(struct ja, 1);
 	struct ses_options ses = {
 	    .listen = opts->listen,
-	    .silence_ms = SILENCE_MS,
+	    .silence_ms = ENTRY_SILENCE_MS,
 	    .opened = on_opened,
 	    .closed = on_closed,
 	    .start = on_start,
@@ -598,23 +605,24 @@
 	ja->labels = g_new0(char *, 1);
 	ja->outboxes = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, g_free, outbox_free);
-	ja->out = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	ja->out_domains =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	make_counters(ja);
-	make_parts(ja);
+	make_run_state(ja);
 	ja->ses = ses_new(&ses, st);
 	if (ja->ses == NULL) {
 		ja_free(ja);
 		return NULL;
 	}
-	ja->tick_id = g_timeout_add(TICK_MS, on_tick, ja);
-	enlist(ja);
+	ja->tick_id = g_timeout_add(JA_TICK_MS, on_tick, ja);
+	register_agent(ja);
 	return ja;
 }
 
 void
 ja_close(struct ja *ja)
 {
-	ja->closed = true;
+	ja->calls_disabled = true;
 	hold_close(ja->hold);
 }
 
@@ -630,7 +638,7 @@
 	hold_free(ja->hold);
 	led_free(ja->led);
 	g_hash_table_unref(ja->outboxes);
-	g_hash_table_unref(ja->out);
+	g_hash_table_unref(ja->out_domains);
 	g_free(ja->service);
 	g_free(ja->failure_domain);
 	g_strfreev(ja->labels);
@@ -641,7 +649,7 @@
 void
 ja_heartbeat(struct ja *ja, const struct wp_worker *worker)
 {
-	if (take_worker(ja, worker))
+	if (apply_worker(ja, worker))
 		enl_update(ja->enlist, worker);
 }
 
@@ -659,5 +667,5 @@
 	ja->draining = true;
 	ja->drain_deadline_ms = clk_now_ms() + ja->opts.drain_ms;
 	led_return_queue(ja->led, "agent is shutting down", clk_now_ms());
-	describe_again(ja);
+	resend_worker(ja);
 }
--- a/src/process/jobagent.h
+++ b/src/process/jobagent.h
@@ -10,8 +10,8 @@
 #include "version/keyspace.h"
 
 /*
- * The agent beside a worker that runs tasks under leases.  It alone starts
- * and stops tasks there, for the entries that are connected to it.
+ * The agent beside a worker that runs tasks under leases.  Entries connect to
+ * it, and only the agent starts and stops tasks at the worker.
  */
 struct ja;
 
@@ -19,24 +19,31 @@
 	const char *listen;	    /* "ip:port", entries */
 	const char *advertise;	    /* "ip:port" under which entries reach it */
 	const struct ks *ks;	    /* borrowed */
-	const char *failure_domain; /* used until the worker names its own */
+	const char *failure_domain; /* until the worker reports its own */
 	const struct wp *wp;	    /* borrowed */
-	int64_t lease_ms;
-	int64_t drain_ms; /* running tasks may take this long at the end */
+	int64_t lease_ms;	    /* longest lease that the worker grants */
+	int64_t drain_ms; /* longest wait for running tasks at shutdown */
 	struct ctr_registry *counters; /* borrowed */
+	/* Runs once, when the shutdown begun by ja_drain() is complete. */
 	void (*drained)(void *ctx);
 	void *ctx;
 };
 
 struct ja *ja_new(const struct ja_options *opts, struct status *st);
-/* Makes no call from then on, so that the port and the store can end. */
+/*
+ * Makes no more calls to the worker.  Call it before freeing what opts->wp and
+ * opts->ks use, then free the agent.
+ */
 void ja_close(struct ja *ja);
 void ja_free(struct ja *ja);
-/* A heartbeat of the worker. */
+/* Handles a heartbeat of the worker. */
 void ja_heartbeat(struct ja *ja, const struct wp_worker *worker);
-/* The worker has left. */
+/* The worker has deregistered: its runs are lost. */
 void ja_left(struct ja *ja, const char *instance);
-/* Refuses starts; drained() runs when nothing runs any more or at the end. */
+/*
+ * Refuses starts from now on; drained() runs when no task is running, at the
+ * latest after drain_ms.
+ */
 void ja_drain(struct ja *ja);
 
 #endif
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -11,66 +11,72 @@
 #include "request/sched.h"
 #include "version/mirror.h"
 
-#define TICK_MS 50
-/* A longer gap between ticks means that this process did not run. */
-#define PAUSE_MS 700
+#define JE_TICK_MS 50
+/* A longer gap between ticks means that this process was paused. */
+#define ENTRY_PAUSE_MS 700
 /*
- * A silent connection to the store is noticed by the end of a watch; a change
- * is then still in force within the two seconds that operators are promised.
+ * A dead connection to the store is detected when a watch times out.  With
+ * this limit a configuration change still takes effect within the 2 s that
+ * operators are promised.
  */
-#define WATCH_MS 1500
-#define MAX_JOBS 20000
-/* The agent's silence limit, a stop at the worker, and both ways. */
-#define AGENT_SILENCE_MS 800
-#define STOP_MARGIN_MS	 300
-#define RETRY_AFTER_MS	 1000
+#define STORE_WATCH_MS 1500
+#define MAX_OPEN_JOBS  20000
+/*
+ * The runs of a lost connection have ended after the time in which the agent
+ * detects a silent entry, plus a margin for the stop call at the worker and
+ * one message in each direction.
+ */
+#define AGENT_SILENCE_MS   800
+#define STOP_MARGIN_MS	   300
+#define RETRY_AFTER_MIN_MS 1000
 /*
  * Part of a graceful shutdown during which jobs are still accepted, since
- * callers use their open connections until the balancer has noticed.
+ * callers keep using open connections until the load balancer notices that
+ * this entry is not ready.
  */
 #define DRAIN_ACCEPT_PERCENT 55
-/* Time for the last answers to leave the process. */
+/* Time for the last answers to be sent before the process exits. */
 #define DRAIN_FLUSH_MS 200
 
-/* An agent's key, the connection to it, and its worker. */
+/* An agent registered in the store. */
 struct agent {
 	struct je *je;
 	struct wlk *link;
 	struct wks_worker *worker;
-	char *name;
-	bool listed;
+	char *name;  /* address, also the key in je->agents */
+	bool listed; /* in the store as of the last update */
 };
 
-/* A call that waits for the end of its job. */
+/* A call waiting for its job to end. */
 struct waiter {
 	uint64_t ticket;
 	char *job;
 	je_answer_fn fn;
 	void *ctx;
-	int64_t since_ms;
+	int64_t submitted_ms;
 };
 
 struct je {
 	struct je_options opts;
 	uint64_t incarnation;
 	struct sch *sch;
-	struct mir *operators;
-	struct mir *members;
+	struct mir *config_mirror;
+	struct mir *agents_mirror;
 	struct rts *routes;
-	GHashTable *out; /* failure domains */
-	char **out_list;
-	GHashTable *agents;  /* address to struct agent */
-	GHashTable *waiters; /* ticket to struct waiter */
+	GHashTable *out_domains; /* failure domains out of service */
+	char **out_names;	 /* the same as an array; owns the strings */
+	GHashTable *agents;	 /* address to struct agent */
+	GHashTable *waiters;	 /* ticket to struct waiter */
 	uint64_t next_ticket;
 	int64_t tick_ms;
 	int64_t drain_since_ms;
-	int64_t idle_since_ms; /* no job is open while draining, 0: one is */
+	int64_t idle_since_ms; /* draining without open jobs since; 0: not */
 	bool draining;
 	bool drained;
 	guint tick_id;
-	guint run_id;
-	int64_t *ends[SCH_BROKEN + 1];
-	int64_t *refusals, *accepted, *tasks_done, *tasks_failed, *tasks_lost;
+	guint placement_id;
+	int64_t *ended_counters[SCH_BROKEN + 1];
+	int64_t *refused, *accepted, *tasks_done, *tasks_failed, *tasks_lost;
 	int64_t *open_jobs;
 	struct hst *job_times;
 };
@@ -85,28 +91,28 @@
 }
 
 static gboolean
-on_run(gpointer data)
+place_waiting_tasks(gpointer data)
 {
 	struct je *je = data;
 
-	je->run_id = 0;
+	je->placement_id = 0;
 	sch_run(je->sch, clk_now_ms());
 	return G_SOURCE_REMOVE;
 }
 
 static void
-run_soon(struct je *je)
+schedule_placement(struct je *je)
 {
-	if (je->run_id == 0 && sch_is_waiting(je->sch))
-		je->run_id = g_idle_add(on_run, je);
+	if (je->placement_id == 0 && sch_is_waiting(je->sch))
+		je->placement_id = g_idle_add(place_waiting_tasks, je);
 }
 
 static bool
-is_out(const char *domain, void *ctx)
+is_domain_out(const char *domain, void *ctx)
 {
 	struct je *je = ctx;
 
-	return g_hash_table_contains(je->out, domain);
+	return g_hash_table_contains(je->out_domains, domain);
 }
 
 static bool
@@ -167,7 +173,7 @@
 }
 
 static const char *
-end_name(enum sch_end end)
+job_end_name(enum sch_end end)
 {
 	static const char *const names[] = {[SCH_COMPLETED] = "completed",
 	    [SCH_JOB_FAILED] = "failed",
@@ -179,7 +185,7 @@
 }
 
 static void
-answer(struct je *je, struct waiter *waiter, const struct je_answer *a)
+answer_waiter(struct je *je, struct waiter *waiter, const struct je_answer *a)
 {
 	je_answer_fn fn = waiter->fn;
 	void *ctx = waiter->ctx;
@@ -197,18 +203,18 @@
 	struct je_answer a = {
 	    .result = result_of(end),
 	    .reason = reason,
-	    .retry_ms = RETRY_AFTER_MS,
+	    .retry_ms = RETRY_AFTER_MIN_MS,
 	};
 
-	++*je->ends[end];
+	++*je->ended_counters[end];
 	if (end == SCH_COMPLETED)
-		hst_add(je->job_times, clk_now_ms() - waiter->since_ms);
+		hst_add(je->job_times, clk_now_ms() - waiter->submitted_ms);
 	evt_write(end == SCH_COMPLETED ? "job" : "job_unserved",
 	    "\"job\":\"%s\",\"end\":\"%s\",\"reason\":\"%s\","
 	    "\"ms_held\":%" G_GINT64_FORMAT ",\"config\":%" G_GINT64_FORMAT,
-	    job, end_name(end), reason, clk_now_ms() - waiter->since_ms,
+	    job, job_end_name(end), reason, clk_now_ms() - waiter->submitted_ms,
 	    je->routes == NULL ? 0 : rts_version(je->routes));
-	answer(je, waiter, &a);
+	answer_waiter(je, waiter, &a);
 }
 
 static void
@@ -216,13 +222,13 @@
 {
 	struct je *je = ctx;
 
-	args->revision = mir_revision(je->operators);
-	args->out.out_len = g_strv_length(je->out_list);
-	args->out.out_val = je->out_list;
+	args->revision = mir_revision(je->config_mirror);
+	args->out.out_len = g_strv_length(je->out_names);
+	args->out.out_val = je->out_names;
 }
 
 static struct agent *
-agent_of(struct je *je, const struct wlk *link)
+find_agent(struct je *je, const struct wlk *link)
 {
 	return g_hash_table_lookup(je->agents, wlk_address(link));
 }
@@ -231,7 +237,7 @@
 on_worker(struct wlk *link, const struct run_worker_args *args, void *ctx)
 {
 	struct je *je = ctx;
-	struct agent *agent = agent_of(je, link);
+	struct agent *agent = find_agent(je, link);
 	struct wks_description d = {
 	    .name = wlk_address(link),
 	    .incarnation = args->incarnation,
@@ -295,7 +301,7 @@
 	    [RUN_LOST] = SCH_LOST,
 	    [RUN_STALLED] = SCH_STALLED};
 	struct je *je = ctx;
-	struct agent *agent = agent_of(je, link);
+	struct agent *agent = find_agent(je, link);
 	struct wk_size room = {
 	    args->free.cpu_milli, args->free.memory_mb, args->free.gpus};
 	uint32_t i;
@@ -308,14 +314,14 @@
 		sch_result(je->sch, r->seq, outcomes[r->outcome], r->run_ms,
 		    r->reason, clk_now_ms());
 	}
-	run_soon(je);
+	schedule_placement(je);
 }
 
 static void
 on_link_closed(struct wlk *link, const struct status *why, void *ctx)
 {
 	struct je *je = ctx;
-	struct agent *agent = agent_of(je, link);
+	struct agent *agent = find_agent(je, link);
 
 	if (agent == NULL)
 		return;
@@ -368,7 +374,7 @@
 }
 
 static gboolean
-is_unlisted(gpointer key, gpointer value, gpointer data)
+is_removable(gpointer key, gpointer value, gpointer data)
 {
 	const struct agent *agent = value;
 
@@ -378,7 +384,7 @@
 }
 
 static void
-on_members(struct mir *mir, void *ctx)
+on_agents_changed(struct mir *mir, void *ctx)
 {
 	struct je *je = ctx;
 	GHashTableIter iter;
@@ -398,11 +404,11 @@
 		if (agent != NULL)
 			agent->listed = true;
 	}
-	g_hash_table_foreach_remove(je->agents, is_unlisted, NULL);
+	g_hash_table_foreach_remove(je->agents, is_removable, NULL);
 }
 
 static void
-take_routes(struct je *je, GHashTable *items)
+update_routes(struct je *je, GHashTable *items)
 {
 	struct status st;
 	struct rts *routes = je->opts.layout->routes(items, &st);
@@ -426,63 +432,65 @@
 }
 
 static void
-take_out(struct je *je, GHashTable *items)
+update_out_domains(struct je *je, GHashTable *items)
 {
 	char **p;
 
-	g_strfreev(je->out_list);
-	je->out_list = je->opts.layout->out(items);
-	g_hash_table_remove_all(je->out);
-	for (p = je->out_list; *p != NULL; p++)
-		g_hash_table_add(je->out, *p);
+	g_strfreev(je->out_names);
+	je->out_names = je->opts.layout->out(items);
+	g_hash_table_remove_all(je->out_domains);
+	for (p = je->out_names; *p != NULL; p++)
+		g_hash_table_add(je->out_domains, *p);
 }
 
 static void
-on_operators(struct mir *mir, void *ctx)
+on_config_changed(struct mir *mir, void *ctx)
 {
 	struct je *je = ctx;
 	GHashTableIter iter;
 	gpointer value;
 
-	take_routes(je, mir_items(mir));
-	take_out(je, mir_items(mir));
+	update_routes(je, mir_items(mir));
+	update_out_domains(je, mir_items(mir));
 	evt_write("config",
 	    "\"version\":%" G_GINT64_FORMAT ",\"revision\":%" G_GINT64_FORMAT
 	    ",\"queues\":%zu,\"out\":%u",
 	    je->routes == NULL ? 0 : rts_version(je->routes), mir_revision(mir),
 	    je->routes == NULL ? 0 : rts_n_queues(je->routes),
-	    g_strv_length(je->out_list));
+	    g_strv_length(je->out_names));
 	g_hash_table_iter_init(&iter, je->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		wlk_beat(((struct agent *)value)->link);
-	run_soon(je);
+	schedule_placement(je);
 }
 
 static void
-on_store(struct mir *mir, bool reachable, const struct status *st, void *ctx)
+on_store_state(
+    struct mir *mir, bool reachable, const struct status *st, void *ctx)
 {
 	struct je *je = ctx;
 
 	evt_write("store",
 	    "\"copy\":\"%s\",\"reachable\":%s,\"reason\":\"%s\","
 	    "\"revision\":%" G_GINT64_FORMAT,
-	    mir == je->members ? "agents" : "operators",
+	    mir == je->agents_mirror ? "agents" : "operators",
 	    reachable ? "true" : "false", reachable ? "" : st->message,
 	    mir_revision(mir));
 }
 
 /*
- * A caller whose deadline passed while this process was paused may have sent
- * its job elsewhere, so nothing of before is continued.
+ * While this process was paused, callers may have timed out and submitted
+ * their jobs to another entry.  After a pause, all open jobs are given up and
+ * all connections to agents are replaced.
  */
 static void
-check_pause(struct je *je)
+handle_pause(struct je *je)
 {
 	int64_t now_ms = clk_now_ms();
 	GHashTableIter iter;
 	gpointer value;
 
-	if (now_ms - je->tick_ms > PAUSE_MS) {
+	if (now_ms - je->tick_ms > ENTRY_PAUSE_MS) {
 		evt_write("pause", "\"ms\":%" G_GINT64_FORMAT ",\"jobs\":%u",
 		    now_ms - je->tick_ms, sch_n_jobs(je->sch));
 		sch_give_up_all(je->sch, "entry was paused");
@@ -502,7 +510,10 @@
 		   je->opts.drain_ms * DRAIN_ACCEPT_PERCENT / 100;
 }
 
-/* Ends once every job was answered, at the latest after drain_ms. */
+/*
+ * Completes the shutdown once no job has been open for DRAIN_FLUSH_MS.  Jobs
+ * still open after drain_ms are given up.
+ */
 static void
 finish_drain(struct je *je)
 {
@@ -526,7 +537,7 @@
 }
 
 static void
-tick_links(struct je *je)
+tick_agents(struct je *je)
 {
 	GHashTableIter iter;
 	gpointer agent;
@@ -541,8 +552,8 @@
 {
 	struct je *je = data;
 
-	check_pause(je);
-	tick_links(je);
+	handle_pause(je);
+	tick_agents(je);
 	sch_tick(je->sch, clk_now_ms());
 	*je->open_jobs = sch_n_jobs(je->sch);
 	finish_drain(je);
@@ -557,13 +568,14 @@
 
 	for (i = 0; i <= SCH_BROKEN; i++) {
 		g_autofree char *name = g_strdup_printf(
-		    "sp_jobs_ended_total{end=\"%s\"}", end_name(i));
+		    "sp_jobs_ended_total{end=\"%s\"}", job_end_name(i));
 
-		je->ends[i] = ctr_counter(reg, name, "Jobs by their end.");
+		je->ended_counters[i] =
+		    ctr_counter(reg, name, "Jobs by their end.");
 	}
 	je->accepted =
 	    ctr_counter(reg, "sp_jobs_accepted_total", "Jobs accepted.");
-	je->refusals =
+	je->refused =
 	    ctr_counter(reg, "sp_jobs_refused_total", "Jobs refused.");
 	je->open_jobs = ctr_gauge(reg, "sp_jobs_open", "Jobs without an end.");
 	je->job_times = hst_new(
@@ -582,9 +594,9 @@
 	struct mir_options opts = {
 	    .ks = je->opts.ks,
 	    .prefix = prefix,
-	    .wait_ms = WATCH_MS,
+	    .wait_ms = STORE_WATCH_MS,
 	    .changed = changed,
-	    .reachable = on_store,
+	    .reachable = on_store_state,
 	    .ctx = je,
 	};
 
@@ -599,7 +611,7 @@
 	    .cross_rack_factor = opts->cross_rack_factor,
 	    .resolve_ms =
 		MAX(opts->lease_ms, AGENT_SILENCE_MS) + STOP_MARGIN_MS,
-	    .max_jobs = MAX_JOBS,
+	    .max_jobs = MAX_OPEN_JOBS,
 	    .start = start_task,
 	    .flush = flush_agent,
 	    .cancel = cancel_task,
@@ -612,39 +624,38 @@
 	if (getrandom(&je->incarnation, sizeof(je->incarnation), 0) < 0)
 		je->incarnation = (uint64_t)clk_now_ns();
 	je->sch = sch_new(&sch);
-	wks_set_out(sch_workers(je->sch), is_out, je);
-	je->out = g_hash_table_new(g_str_hash, g_str_equal);
-	je->out_list = g_new0(char *, 1);
+	wks_set_out(sch_workers(je->sch), is_domain_out, je);
+	je->out_domains = g_hash_table_new(g_str_hash, g_str_equal);
+	je->out_names = g_new0(char *, 1);
 	je->agents =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, agent_free);
 	je->waiters = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, waiter_free);
 	make_counters(je);
-	je->operators =
-	    make_mirror(je, opts->layout->operators_prefix, on_operators);
-	je->members = make_mirror(je, ENL_PREFIX, on_members);
+	je->config_mirror =
+	    make_mirror(je, opts->layout->operators_prefix, on_config_changed);
+	je->agents_mirror = make_mirror(je, ENL_PREFIX, on_agents_changed);
 	je->tick_ms = clk_now_ms();
-	je->tick_id = g_timeout_add(TICK_MS, on_tick, je);
+	je->tick_id = g_timeout_add(JE_TICK_MS, on_tick, je);
 	return je;
 }
 
-/* Frees the entry; calls that wait get no answer. */
 void
 je_free(struct je *je)
 {
 	if (je == NULL)
 		return;
 	g_clear_handle_id(&je->tick_id, g_source_remove);
-	g_clear_handle_id(&je->run_id, g_source_remove);
-	/* Emptied first, since closed links look for their agent. */
+	g_clear_handle_id(&je->placement_id, g_source_remove);
+	/* Freeing an agent closes its link, whose callback uses the table. */
 	g_hash_table_remove_all(je->agents);
 	g_hash_table_unref(je->agents);
-	mir_free(je->operators);
-	mir_free(je->members);
+	mir_free(je->config_mirror);
+	mir_free(je->agents_mirror);
 	sch_free(je->sch);
 	g_hash_table_unref(je->waiters);
-	g_hash_table_unref(je->out);
-	g_strfreev(je->out_list);
+	g_hash_table_unref(je->out_domains);
+	g_strfreev(je->out_names);
 	rts_unref(je->routes);
 	hst_free(je->job_times);
 	g_free(je);
@@ -678,7 +689,7 @@
 	fn(&a, ctx);
 }
 
-/* The queue of a request, or an answer why there is none. */
+/* Returns the queue of a request, or answers with an error and NULL. */
 static const struct rts_queue *
 find_queue(struct je *je, const char *host, const char *path, je_answer_fn fn,
     void *ctx)
@@ -688,7 +699,7 @@
 	if (je->routes == NULL) {
 		evt_write("refusal", "\"reason\":\"no configuration yet\"");
 		answer_now(fn, ctx, JE_NOT_READY, "no configuration yet",
-		    RETRY_AFTER_MS);
+		    RETRY_AFTER_MIN_MS);
 		return NULL;
 	}
 	queue = rts_find(je->routes, host, path);
@@ -709,7 +720,7 @@
 	    [SCH_UNSERVED] = "queues with advice are not served"};
 	bool overloaded = verdict == SCH_OVERLOADED || verdict == SCH_BACKLOG;
 
-	++*je->refusals;
+	++*je->refused;
 	evt_write("refusal",
 	    "\"job\":\"%s\",\"queue\":\"%s\",\"reason\":\"%s\","
 	    "\"wait_ms\":%" G_GINT64_FORMAT
@@ -717,7 +728,7 @@
 	    request->job->id, request->queue->name, reasons[verdict],
 	    request->wait_ms, sch_n_jobs(je->sch), rts_version(je->routes));
 	answer_now(fn, ctx, overloaded ? JE_OVERLOADED : JE_REFUSED,
-	    reasons[verdict], MAX(RETRY_AFTER_MS, request->wait_ms));
+	    reasons[verdict], MAX(RETRY_AFTER_MIN_MS, request->wait_ms));
 }
 
 static struct waiter *
@@ -729,14 +740,17 @@
 	waiter->job = g_strdup(job);
 	waiter->fn = fn;
 	waiter->ctx = ctx;
-	waiter->since_ms = clk_now_ms();
+	waiter->submitted_ms = clk_now_ms();
 	g_hash_table_insert(je->waiters, &waiter->ticket, waiter);
 	return waiter;
 }
 
-/* The job is known here: the newer call waits for it in place of the older. */
+/*
+ * A call submitted a job that is already open here: from now on this call
+ * gets its result, and the earlier one is answered at once.
+ */
 static uint64_t
-take_over(struct je *je, const char *job, je_answer_fn fn, void *ctx)
+replace_waiter(struct je *je, const char *job, je_answer_fn fn, void *ctx)
 {
 	struct waiter *waiter = add_waiter(je, job, fn, ctx);
 	struct waiter *former = sch_take_over(je->sch, job, waiter);
@@ -745,7 +759,7 @@
 
 	evt_write("resend", "\"job\":\"%s\"", job);
 	if (former != NULL)
-		answer(je, former, &a);
+		answer_waiter(je, former, &a);
 	return waiter->ticket;
 }
 
@@ -759,7 +773,7 @@
 	struct waiter *waiter;
 	uint64_t ticket = 0;
 
-	check_pause(je);
+	handle_pause(je);
 	queue = find_queue(je, host, path, fn, ctx);
 	if (queue == NULL) {
 		wk_job_free(job);
@@ -767,12 +781,12 @@
 	}
 	if (!accepts_jobs(je)) {
 		answer_now(fn, ctx, JE_REFUSED, "entry is shutting down",
-		    RETRY_AFTER_MS);
+		    RETRY_AFTER_MIN_MS);
 		wk_job_free(job);
 		return 0;
 	}
 	if (sch_has_job(je->sch, job->id)) {
-		ticket = take_over(je, job->id, fn, ctx);
+		ticket = replace_waiter(je, job->id, fn, ctx);
 		wk_job_free(job);
 		return ticket;
 	}
@@ -782,7 +796,7 @@
 	verdict = sch_submit(je->sch, &request, clk_now_ms());
 	if (verdict == SCH_ACCEPTED) {
 		++*je->accepted;
-		run_soon(je);
+		schedule_placement(je);
 		return waiter->ticket;
 	}
 	g_hash_table_remove(je->waiters, &waiter->ticket);
@@ -792,7 +806,7 @@
 }
 
 static void
-tell_abandoned(const struct je *je, const struct waiter *waiter)
+log_abandoned(const struct je *je, const struct waiter *waiter)
 {
 	struct sch_progress at;
 
@@ -802,8 +816,8 @@
 	    "\"job\":\"%s\",\"ms_held\":%" G_GINT64_FORMAT
 	    ",\"queue\":\"%s\",\"tasks\":%u,\"ready\":%u,\"sent\":%u,"
 	    "\"unresolved\":%u,\"done\":%u,\"jobs\":%u",
-	    waiter->job, clk_now_ms() - waiter->since_ms, at.queue, at.n_tasks,
-	    at.n_ready, at.n_sent, at.n_unresolved, at.n_done,
+	    waiter->job, clk_now_ms() - waiter->submitted_ms, at.queue,
+	    at.n_tasks, at.n_ready, at.n_sent, at.n_unresolved, at.n_done,
 	    sch_n_jobs(je->sch));
 }
 
@@ -814,7 +828,7 @@
 
 	if (waiter == NULL)
 		return;
-	tell_abandoned(je, waiter);
+	log_abandoned(je, waiter);
 	sch_cancel(je->sch, waiter->job);
 	g_hash_table_remove(je->waiters, &ticket);
 }
@@ -848,7 +862,7 @@
 	waiter = sch_take_over(je->sch, job, NULL);
 	sch_cancel(je->sch, job);
 	if (waiter != NULL)
-		answer(je, waiter, &gone);
+		answer_waiter(je, waiter, &gone);
 	answer_now(fn, ctx, JE_RUNNING, "cancelled", 0);
 }
 
@@ -865,7 +879,7 @@
 	fn(&a, ctx);
 }
 
-/* Takes the entry out of the balancer; see finish_drain() for the end. */
+/* From now on je_is_ready() is false, which the load balancer checks. */
 void
 je_drain(struct je *je)
 {
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -11,21 +11,21 @@
 #include "version/routes.h"
 
 /*
- * The entry for jobs whose tasks run under leases.  Callers choose the ids
- * of jobs and may send them again to any entry.
+ * An entry for jobs whose tasks run under leases.  Callers choose the ids of
+ * jobs and may submit the same job again, to this entry or to another one.
  */
 struct je;
 
-/* How a call ended; what it means on the wire is up to the adapter. */
+/* Result of a call; the adapter maps it to a response of its protocol. */
 enum je_result {
 	JE_COMPLETED,
 	JE_JOB_FAILED,
 	JE_NO_QUEUE,
-	JE_NOT_READY,  /* no configuration yet; nothing ran */
-	JE_REFUSED,    /* nothing ran and nothing will */
-	JE_OVERLOADED, /* as above; come again after retry_ms */
-	JE_TIMEOUT,    /* tasks may have run */
-	JE_BROKEN,     /* as above, and the job may be sent again */
+	JE_NOT_READY,  /* no configuration was read yet; no task ran */
+	JE_REFUSED,    /* no task of the job ran or will run */
+	JE_OVERLOADED, /* no task ran or will run; retry after retry_ms */
+	JE_TIMEOUT,    /* the deadline passed; tasks may have run */
+	JE_BROKEN,     /* tasks may have run; the job may be sent again */
 	JE_UNKNOWN_JOB,
 	JE_RUNNING,
 	JE_COUNT
@@ -35,17 +35,17 @@
 	enum je_result result;
 	const char *reason;
 	int64_t retry_ms;
-	uint32_t pending; /* JE_COUNT */
+	uint32_t pending; /* jobs without a started task, for JE_COUNT */
 };
 
 typedef void (*je_answer_fn)(const struct je_answer *answer, void *ctx);
 
-/* Where the adapter finds things in the store, and what they mean. */
+/* The adapter's keys in the store and the functions that parse them. */
 struct je_layout {
 	const char *operators_prefix;
 	/* NULL when the items hold no valid configuration. */
 	struct rts *(*routes)(GHashTable *items, struct status *st);
-	/* Failure domains that are out; g_strfreev() frees them. */
+	/* Failure domains out of service; freed with g_strfreev(). */
 	char **(*out)(GHashTable *items);
 };
 
@@ -54,35 +54,43 @@
 	const char *failure_domain;
 	const struct ks *ks;		/* borrowed */
 	const struct je_layout *layout; /* borrowed */
-	double cross_rack_factor;
-	int64_t lease_ms; /* longest lease of a worker */
-	int64_t drain_ms;
+	double cross_rack_factor; /* of the run time off the preferred rack */
+	int64_t lease_ms;	  /* longest lease that a worker grants */
+	int64_t drain_ms;	  /* longest time of a graceful shutdown */
 	struct ctr_registry *counters; /* borrowed */
-	/* The first configuration was read. */
+	/* Runs once, when the first valid configuration was read. */
 	void (*configured)(void *ctx);
+	/* Runs once, when the shutdown begun by je_drain() is complete. */
 	void (*drained)(void *ctx);
 	void *ctx;
 };
 
 struct je *je_new(const struct je_options *opts);
+/* Calls in progress get no answer. */
 void je_free(struct je *je);
 
 bool je_is_ready(const struct je *je);
 bool je_is_draining(const struct je *je);
-/* NULL without a configuration. */
+/* NULL until a configuration was read. */
 const struct rts *je_routes(const struct je *je);
 
-/* A job; job is taken over.  Returns a ticket for je_abandon(), or 0. */
+/*
+ * Takes over job; fn runs once with the result.  Returns a ticket for
+ * je_abandon(), or 0 when fn has run already.
+ */
 uint64_t je_submit(struct je *je, const char *host, const char *path,
     struct wk_job *job, int64_t deadline_ms, je_answer_fn fn, void *ctx);
-/* The caller has gone: fn does not run, the job's tasks are stopped. */
+/* The caller has disconnected: fn does not run, and the job is cancelled. */
 void je_abandon(struct je *je, uint64_t ticket);
+/* Answers JE_RUNNING while the job is open here, else JE_UNKNOWN_JOB. */
 void je_state(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
 void je_cancel(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
+/* Answers the number of jobs of the queue that have no started task. */
 void je_count(struct je *je, const char *host, const char *path,
     je_answer_fn fn, void *ctx);
+/* Starts a graceful shutdown. */
 void je_drain(struct je *je);
 
 #endif
--- a/src/process/jsonc.c
+++ b/src/process/jsonc.c
@@ -11,25 +11,25 @@
 struct jsonc {
 	char *name;
 	struct json_object *root;
-	GHashTable *where; /* path -> struct jsonc_position */
-	GStringChunk *paths;
+	GHashTable *positions; /* path to struct jsonc_position */
+	GStringChunk *paths;   /* owns the paths of all nodes */
 };
 
 static bool
 parse_text(struct jsonc *doc, const char *text, size_t len, struct status *st)
 {
-	struct json_tokener *tok = json_tokener_new_ex(JSONC_MAX_DEPTH + 1);
+	struct json_tokener *tokener = json_tokener_new_ex(JSONC_MAX_DEPTH + 1);
 	enum json_tokener_error err;
 
-	json_tokener_set_flags(tok, JSON_TOKENER_VALIDATE_UTF8);
-	doc->root = json_tokener_parse_ex(tok, text, (int)len);
-	err = json_tokener_get_error(tok);
-	/* A number at the very end needs one more character to be complete. */
+	json_tokener_set_flags(tokener, JSON_TOKENER_VALIDATE_UTF8);
+	doc->root = json_tokener_parse_ex(tokener, text, (int)len);
+	err = json_tokener_get_error(tokener);
+	/* At the end of input, json-c waits for further digits of a number. */
 	if (err == json_tokener_continue) {
-		doc->root = json_tokener_parse_ex(tok, "\n", 1);
-		err = json_tokener_get_error(tok);
+		doc->root = json_tokener_parse_ex(tokener, "\n", 1);
+		err = json_tokener_get_error(tokener);
 	}
-	json_tokener_free(tok);
+	json_tokener_free(tokener);
 	if (err == json_tokener_success)
 		return true;
 	st_set(
@@ -37,7 +37,6 @@
 	return false;
 }
 
-/* Parses a text; name stands for it in messages.  NULL on error. */
 struct jsonc *
 jsonc_parse(const char *name, const char *text, size_t len, struct status *st)
 {
@@ -50,10 +49,10 @@
 	}
 	doc = g_new0(struct jsonc, 1);
 	doc->name = g_strdup(name);
-	doc->where =
+	doc->positions =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	doc->paths = g_string_chunk_new(256);
-	if (!jsonc_scan(doc->name, text, len, doc->where, st) ||
+	if (!jsonc_scan(doc->name, text, len, doc->positions, st) ||
 	    !parse_text(doc, text, len, st)) {
 		jsonc_free(doc);
 		return NULL;
@@ -61,7 +60,6 @@
 	return doc;
 }
 
-/* Reads and parses a file; NULL on error. */
 struct jsonc *
 jsonc_load(const char *path, struct status *st)
 {
@@ -86,14 +84,14 @@
 	if (doc == NULL)
 		return;
 	json_object_put(doc->root);
-	g_hash_table_destroy(doc->where);
+	g_hash_table_destroy(doc->positions);
 	g_string_chunk_free(doc->paths);
 	g_free(doc->name);
 	g_free(doc);
 }
 
 static const char *
-path_of(const struct jsonc_node *node, const char *key, ssize_t index)
+intern_path(const struct jsonc_node *node, const char *key, ssize_t index)
 {
 	const char *dot = node->path[0] != '\0' && key[0] != '\0' ? "." : "";
 	const char *path;
@@ -110,26 +108,25 @@
 }
 
 static void
-error_at(const struct jsonc *doc, const char *path, struct status *st,
+set_error_at(const struct jsonc *doc, const char *path, struct status *st,
     const char *message)
 {
-	const struct jsonc_position *place =
-	    g_hash_table_lookup(doc->where, path);
+	const struct jsonc_position *position =
+	    g_hash_table_lookup(doc->positions, path);
 
-	if (place == NULL)
+	if (position == NULL)
 		st_set(st, ST_INVALID, "%s: %s%s%s", doc->name, path,
 		    path[0] != '\0' ? ": " : "", message);
 	else
 		st_set(st, ST_INVALID, "%s:%u:%u: %s: %s", doc->name,
-		    place->line, place->column, path, message);
+		    position->line, position->column, path, message);
 }
 
-/* Sets an error at a key of node, or at node itself when key is "". */
 bool
 jsonc_error(const struct jsonc_node *node, const char *key, struct status *st,
     const char *fmt, ...)
 {
-	const char *path = path_of(node, key, -1);
+	const char *path = intern_path(node, key, -1);
 	char *message;
 	va_list ap;
 
@@ -137,14 +134,15 @@
 	message = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
 	/* A missing key is reported at the object that lacks it. */
-	if (g_hash_table_lookup(node->doc->where, path) == NULL &&
+	if (g_hash_table_lookup(node->doc->positions, path) == NULL &&
 	    node->path[0] != '\0') {
-		char *full = g_strdup_printf("\"%s\": %s", key, message);
+		char *full_message =
+		    g_strdup_printf("\"%s\": %s", key, message);
 
-		error_at(node->doc, node->path, st, full);
-		g_free(full);
+		set_error_at(node->doc, node->path, st, full_message);
+		g_free(full_message);
 	} else {
-		error_at(node->doc, path, st, message);
+		set_error_at(node->doc, path, st, message);
 	}
 	g_free(message);
 	return false;
@@ -157,7 +155,6 @@
 			     : json_type_to_name(json_object_get_type(value));
 }
 
-/* Returns the root of a document, which must be an object. */
 bool
 jsonc_root(const struct jsonc *doc, struct jsonc_node *root, struct status *st)
 {
@@ -171,7 +168,6 @@
 	return false;
 }
 
-/* Refuses every key of node that is not in the list. */
 bool
 jsonc_only(
     const struct jsonc_node *node, const char *const *keys, struct status *st)
@@ -191,9 +187,9 @@
 	return json_object_object_get_ex(node->value, key, NULL);
 }
 
-/* Looks a key up; *out is NULL when an optional key is absent. */
+/* Looks up a value of a type; *out is NULL if an optional key is absent. */
 static bool
-get(const struct jsonc_node *node, const char *key, enum jsonc_need need,
+get_value(const struct jsonc_node *node, const char *key, enum jsonc_need need,
     enum json_type type, const char *expected, struct json_object **out,
     struct status *st)
 {
@@ -210,7 +206,6 @@
 	    node, key, st, "expected %s, got %s", expected, type_name(*out));
 }
 
-/* Reads a string. */
 bool
 jsonc_string(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, char **out, struct status *st)
@@ -218,7 +213,8 @@
 	struct json_object *value;
 	const char *s;
 
-	if (!get(node, key, need, json_type_string, "a string", &value, st))
+	if (!get_value(
+		node, key, need, json_type_string, "a string", &value, st))
 		return false;
 	if (value == NULL)
 		return true;
@@ -230,7 +226,6 @@
 	return true;
 }
 
-/* Tells whether s is 1 to 64 characters of [A-Za-z0-9._-]. */
 bool
 jsonc_is_name(const char *s)
 {
@@ -243,7 +238,6 @@
 	return i > 0 && i <= NAME_MAX_LEN;
 }
 
-/* Reads a name. */
 bool
 jsonc_name(const struct jsonc_node *node, const char *key, enum jsonc_need need,
     char **out, struct status *st)
@@ -258,22 +252,20 @@
 	    NAME_MAX_LEN, *out);
 }
 
-/* Reads true or false. */
 bool
 jsonc_bool(const struct jsonc_node *node, const char *key, enum jsonc_need need,
     bool *out, struct status *st)
 {
 	struct json_object *value;
 
-	if (!get(node, key, need, json_type_boolean, "true or false", &value,
-		st))
+	if (!get_value(node, key, need, json_type_boolean, "true or false",
+		&value, st))
 		return false;
 	if (value != NULL)
 		*out = json_object_get_boolean(value);
 	return true;
 }
 
-/* Reads an integer in a range. */
 bool
 jsonc_int(const struct jsonc_node *node, const char *key, enum jsonc_need need,
     int64_t min, int64_t max, int64_t *out, struct status *st)
@@ -285,12 +277,12 @@
 	g_snprintf(expected, sizeof(expected),
 	    "an integer from %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT, min,
 	    max);
-	if (!get(node, key, need, json_type_int, expected, &value, st))
+	if (!get_value(node, key, need, json_type_int, expected, &value, st))
 		return false;
 	if (value == NULL)
 		return true;
 	n = json_object_get_int64(value);
-	/* json-c saturates a number beyond 64 bits. */
+	/* json-c clamps numbers outside the range of int64_t. */
 	if (n < min || n > max)
 		return jsonc_error(node, key, st, "expected %s, got %s",
 		    expected,
@@ -300,7 +292,6 @@
 	return true;
 }
 
-/* Reads an array of strings. */
 bool
 jsonc_strings(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, char ***out, struct status *st)
@@ -309,7 +300,7 @@
 	size_t i, n;
 	char **copy;
 
-	if (!get(node, key, need, json_type_array, "an array of strings",
+	if (!get_value(node, key, need, json_type_array, "an array of strings",
 		&value, st))
 		return false;
 	if (value == NULL)
@@ -331,7 +322,6 @@
 	return true;
 }
 
-/* Reads the length of an array. */
 bool
 jsonc_array(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, size_t *n, struct status *st)
@@ -339,14 +329,14 @@
 	struct json_object *value;
 
 	*n = 0;
-	if (!get(node, key, need, json_type_array, "an array", &value, st))
+	if (!get_value(
+		node, key, need, json_type_array, "an array", &value, st))
 		return false;
 	if (value != NULL)
 		*n = json_object_array_length(value);
 	return true;
 }
 
-/* Returns an object of an array. */
 bool
 jsonc_item(const struct jsonc_node *node, const char *key, size_t index,
     struct jsonc_node *item, struct status *st)
@@ -356,25 +346,24 @@
 	json_object_object_get_ex(node->value, key, &array);
 	item->doc = node->doc;
 	item->value = json_object_array_get_idx(array, index);
-	item->path = path_of(node, key, (ssize_t)index);
+	item->path = intern_path(node, key, (ssize_t)index);
 	if (json_object_is_type(item->value, json_type_object))
 		return true;
 	return jsonc_error(
 	    item, "", st, "expected an object, got %s", type_name(item->value));
 }
 
-/* Returns the object under a required key. */
 bool
 jsonc_object(const struct jsonc_node *node, const char *key,
     struct jsonc_node *item, struct status *st)
 {
 	struct json_object *value;
 
-	if (!get(node, key, JSONC_REQUIRED, json_type_object, "an object",
+	if (!get_value(node, key, JSONC_REQUIRED, json_type_object, "an object",
 		&value, st))
 		return false;
 	item->doc = node->doc;
 	item->value = value;
-	item->path = path_of(node, key, -1);
+	item->path = intern_path(node, key, -1);
 	return true;
 }
--- a/src/process/jsonc_scan.c
+++ b/src/process/jsonc_scan.c
@@ -2,10 +2,13 @@
 
 #include "jsonc_scan.h"
 
-/* Pre-scan of a text: json-c accepts duplicate keys and trailing commas. */
+/*
+ * State of the syntax check, which is stricter than json-c: that accepts
+ * duplicate keys and trailing commas.
+ */
 struct scan {
 	const char *name;
-	GHashTable *where;
+	GHashTable *positions;
 	const char *p;
 	const char *end;
 	const char *line_start;
@@ -37,7 +40,7 @@
 static bool
 skip_comment(struct scan *sc)
 {
-	const struct scan at_start = *sc;
+	const struct scan start = *sc;
 
 	if (sc->end - sc->p >= 2 && sc->p[1] == '/') {
 		while (sc->p < sc->end && *sc->p != '\n')
@@ -52,7 +55,7 @@
 			return true;
 		}
 	}
-	return scan_error(&at_start, at_start.p, "comment is not closed");
+	return scan_error(&start, start.p, "comment is not closed");
 }
 
 static bool
@@ -82,7 +85,7 @@
 			    sc, sc->p, "control character in a string");
 		if (*sc->p != '\\')
 			continue;
-		/* Escapes would hide that two keys are the same. */
+		/* Duplicate keys are detected by comparing their raw text. */
 		if (is_key)
 			return scan_error(
 			    sc, sc->p, "escapes are not allowed in a key");
@@ -98,13 +101,13 @@
 }
 
 static void
-note_position(struct scan *sc, const char *at)
+record_position(struct scan *sc, const char *at)
 {
-	struct jsonc_position *place = g_new(struct jsonc_position, 1);
+	struct jsonc_position *position = g_new(struct jsonc_position, 1);
 
-	place->line = sc->line;
-	place->column = (uint32_t)(at - sc->line_start) + 1;
-	g_hash_table_replace(sc->where, g_strdup(sc->path->str), place);
+	position->line = sc->line;
+	position->column = (uint32_t)(at - sc->line_start) + 1;
+	g_hash_table_replace(sc->positions, g_strdup(sc->path->str), position);
 }
 
 static bool
@@ -121,7 +124,7 @@
 		return false;
 	key = g_strndup(start + 1, (gsize)(sc->p - start) - 2);
 	g_string_append_printf(sc->path, "%s%s", path_len > 0 ? "." : "", key);
-	note_position(sc, start);
+	record_position(sc, start);
 	if (!g_hash_table_add(seen, key)) {
 		st_set(sc->st, ST_INVALID, "%s:%u:%u: duplicate key \"%s\"",
 		    sc->name, sc->line, (unsigned)(start - sc->line_start) + 1,
@@ -145,13 +148,13 @@
 	bool ok;
 
 	g_string_append_printf(sc->path, "[%u]", index);
-	note_position(sc, sc->p);
+	record_position(sc, sc->p);
 	ok = scan_value(sc);
 	g_string_truncate(sc->path, path_len);
 	return ok;
 }
 
-/* Reads "," or the closing character; more tells which of them it was. */
+/* Reads "," or the closing character; sets *more to true for ",". */
 static bool
 scan_separator(struct scan *sc, char close, bool *more)
 {
@@ -214,7 +217,7 @@
 }
 
 static bool
-scan_word(struct scan *sc)
+scan_literal(struct scan *sc)
 {
 	const char *start = sc->p;
 	char *word, *end;
@@ -248,16 +251,15 @@
 		return scan_container(sc, ']');
 	if (*sc->p == '"')
 		return scan_string(sc, false);
-	return scan_word(sc);
+	return scan_literal(sc);
 }
 
-/* Checks a text and notes the position of every key and array element. */
 bool
-jsonc_scan(const char *name, const char *text, size_t len, GHashTable *where,
-    struct status *st)
+jsonc_scan(const char *name, const char *text, size_t len,
+    GHashTable *positions, struct status *st)
 {
 	struct scan sc = {.name = name,
-	    .where = where,
+	    .positions = positions,
 	    .p = text,
 	    .end = text + len,
 	    .line_start = text,
--- a/src/process/jsonc_scan.h
+++ b/src/process/jsonc_scan.h
@@ -10,13 +10,17 @@
 
 #define JSONC_MAX_DEPTH 32
 
+/* 1-based position in a text. */
 struct jsonc_position {
 	uint32_t line;
 	uint32_t column;
 };
 
-/* where maps a g_strdup()ed path to a g_new()ed struct jsonc_position. */
+/*
+ * Checks the syntax of a text.  Fills positions with the position of every key
+ * and array element: a g_strdup()ed path to a g_new()ed struct jsonc_position.
+ */
 bool jsonc_scan(const char *name, const char *text, size_t len,
-    GHashTable *where, struct status *st);
+    GHashTable *positions, struct status *st);
 
 #endif
--- a/src/process/library.c
+++ b/src/process/library.c
@@ -9,9 +9,8 @@
 #include "sequoiaplank.h"
 #include "version/config.h"
 
-_Static_assert(SP_MESSAGE_MAX == ST_MESSAGE_MAX, "messages are copied whole");
+_Static_assert(SP_MESSAGE_MAX == ST_MESSAGE_MAX, "messages must fit");
 
-/* Returns the version of the library. */
 const char *
 sp_version(void)
 {
@@ -19,14 +18,13 @@
 }
 
 static enum sp_result
-fail(struct sp_error *error, enum sp_result result, const char *message)
+set_result(struct sp_error *error, enum sp_result result, const char *message)
 {
 	if (error != NULL)
 		g_strlcpy(error->message, message, SP_MESSAGE_MAX);
 	return result;
 }
 
-/* Checks an operators' text without applying it. */
 enum sp_result
 sp_text_check(
     const char *name, const char *text, size_t len, struct sp_error *error)
@@ -34,11 +32,10 @@
 	struct status st;
 
 	if (!cfg_check_text(name, text, len, &st))
-		return fail(error, SP_INVALID, st.message);
-	return fail(error, SP_OK, "");
+		return set_result(error, SP_INVALID, st.message);
+	return set_result(error, SP_OK, "");
 }
 
-/* Checks the settings of spentryd. */
 enum sp_result
 sp_entry_check(const char *path, struct sp_error *error)
 {
@@ -46,12 +43,11 @@
 	struct set_entry *set = set_entry_load(path, &st);
 
 	if (set == NULL)
-		return fail(error, SP_INVALID, st.message);
+		return set_result(error, SP_INVALID, st.message);
 	set_entry_free(set);
-	return fail(error, SP_OK, "");
+	return set_result(error, SP_OK, "");
 }
 
-/* Checks the settings of spagentd. */
 enum sp_result
 sp_agent_check(const char *path, struct sp_error *error)
 {
@@ -59,12 +55,12 @@
 	struct set_agent *set = set_agent_load(path, &st);
 
 	if (set == NULL)
-		return fail(error, SP_INVALID, st.message);
+		return set_result(error, SP_INVALID, st.message);
 	set_agent_free(set);
-	return fail(error, SP_OK, "");
+	return set_result(error, SP_OK, "");
 }
 
-/* Agents and callers need more descriptors than the usual soft limit. */
+/* Connections need more file descriptors than the usual soft limit. */
 static void
 raise_descriptor_limit(void)
 {
@@ -84,7 +80,6 @@
 	log_open(program, log_level_parse(level));
 }
 
-/* Runs an entry until its graceful shutdown is over. */
 enum sp_result
 sp_entry_run(const char *path, struct sp_error *error)
 {
@@ -94,12 +89,12 @@
 	enum sp_result result = SP_OK;
 
 	if (set == NULL)
-		return fail(error, SP_INVALID, st.message);
+		return set_result(error, SP_INVALID, st.message);
 	prepare_process("spentryd", set->log_level);
 	entry = entry_new(set, &st);
 	if (entry == NULL) {
 		set_entry_free(set);
-		return fail(error, SP_UNAVAILABLE, st.message);
+		return set_result(error, SP_UNAVAILABLE, st.message);
 	}
 	log_line(LOG_NOTICE, "entry %s in %s serves callers at %s", set->name,
 	    set->failure_domain, set->listen);
@@ -107,11 +102,10 @@
 		result = SP_INTERRUPTED;
 	entry_free(entry);
 	set_entry_free(set);
-	return fail(
+	return set_result(
 	    error, result, result == SP_OK ? "" : "requests were cut off");
 }
 
-/* Runs an agent until its graceful shutdown is over. */
 enum sp_result
 sp_agent_run(const char *path, struct sp_error *error)
 {
@@ -121,12 +115,12 @@
 	enum sp_result result = SP_OK;
 
 	if (set == NULL)
-		return fail(error, SP_INVALID, st.message);
+		return set_result(error, SP_INVALID, st.message);
 	prepare_process("spagentd", set->log_level);
 	agent = agent_new(set, &st);
 	if (agent == NULL) {
 		set_agent_free(set);
-		return fail(error, SP_UNAVAILABLE, st.message);
+		return set_result(error, SP_UNAVAILABLE, st.message);
 	}
 	log_line(LOG_NOTICE, "agent of worker %s in %s listens on %s",
 	    set->worker, set->failure_domain, set->listen);
@@ -134,5 +128,6 @@
 		result = SP_INTERRUPTED;
 	agent_free(agent);
 	set_agent_free(set);
-	return fail(error, result, result == SP_OK ? "" : "tasks were cut off");
+	return set_result(
+	    error, result, result == SP_OK ? "" : "tasks were cut off");
 }
--- a/src/process/log.c
+++ b/src/process/log.c
@@ -6,7 +6,7 @@
 
 #include "log.h"
 
-#define LINE_MAX_BYTES 1024
+#define LOG_MESSAGE_MAX_BYTES 1024
 
 static const char *log_program = "sequoiaplank";
 static int log_max_level = LOG_INFO;
@@ -22,7 +22,6 @@
     {"debug", LOG_DEBUG},
 };
 
-/* Sets the program's name, which must outlive the process, and the level. */
 void
 log_open(const char *program, int max_level)
 {
@@ -30,7 +29,6 @@
 	log_max_level = max_level;
 }
 
-/* Returns the level with the given name, or -1. */
 int
 log_level_parse(const char *name)
 {
@@ -55,7 +53,7 @@
 	return "notice";
 }
 
-/* Peers choose some of the text; it must not look like lines of its own. */
+/* Messages can contain text from peers, which must not forge log lines. */
 static void
 replace_controls(char *s)
 {
@@ -65,11 +63,10 @@
 	}
 }
 
-/* Writes one line "time program[pid]: level: message" to standard error. */
 void
 log_line(int level, const char *fmt, ...)
 {
-	char message[LINE_MAX_BYTES], when[32];
+	char message[LOG_MESSAGE_MAX_BYTES], when[32];
 	struct timespec ts;
 	struct tm tm;
 	va_list ap;
--- a/src/process/mailbox.c
+++ b/src/process/mailbox.c
@@ -34,7 +34,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* The source is freed after its last dispatch. */
+/* GLib finalizes the source after its last dispatch. */
 static void
 finalize(GSource *source)
 {
@@ -57,7 +57,6 @@
 	return mbx;
 }
 
-/* NULL is allowed. */
 void
 mbx_free(struct mbx *mbx)
 {
--- a/src/process/mailbox.h
+++ b/src/process/mailbox.h
@@ -4,25 +4,25 @@
 #include <glib.h>
 
 /*
- * Messages to the thread that runs a main context, in the order in which each
- * sender posted them.  Any thread may post; everything else belongs to the
- * thread of the context.
+ * A queue of messages to the thread that runs a main context.  Messages of one
+ * sender arrive in the order in which it posted them.  Any thread may call
+ * mbx_post(); the other functions are for the thread of the context.
  */
 struct mbx;
 
 struct mbx_options {
 	GMainContext *context; /* NULL: the default one */
-	/* Takes a message over. */
+	/* Handles a message and takes ownership of it. */
 	void (*take)(void *message, void *ctx);
-	/* Frees a message that was never taken. */
+	/* Frees a message that was not handled before mbx_free(). */
 	GDestroyNotify discard;
 	void *ctx;
 };
 
 struct mbx *mbx_new(const struct mbx_options *opts);
-/* Nobody may post any more. */
+/* No thread may post during or after this call.  NULL is allowed. */
 void mbx_free(struct mbx *mbx);
-/* The message is taken over. */
+/* Takes ownership of message. */
 void mbx_post(struct mbx *mbx, void *message);
 
 #endif
--- a/src/process/metrics.c
+++ b/src/process/metrics.c
@@ -14,7 +14,7 @@
 };
 
 static void
-handle(SoupServer *server, SoupServerMessage *msg, const char *path,
+serve_metrics(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, gpointer data)
 {
 	struct met *met = data;
@@ -38,11 +38,12 @@
 
 	met->counters = counters;
 	met->suppressed = ctr_counter(counters, "sp_log_suppressed_total",
-	    "Log lines left out by the bound on lines a second.");
+	    "Log lines suppressed by the limit on lines per second.");
 	met->dropped = ctr_counter(counters, "sp_log_dropped_total",
-	    "Log lines that the reader did not take.");
+	    "Log lines that could not be written.");
 	met->server = soup_server_new("server-header", NULL, NULL);
-	soup_server_add_handler(met->server, "/metrics", handle, met, NULL);
+	soup_server_add_handler(
+	    met->server, "/metrics", serve_metrics, met, NULL);
 	if (!hl_listen(met->server, listen, st)) {
 		met_free(met);
 		return NULL;
@@ -50,7 +51,6 @@
 	return met;
 }
 
-/* NULL is allowed. */
 void
 met_free(struct met *met)
 {
--- a/src/process/peering.c
+++ b/src/process/peering.c
@@ -8,12 +8,11 @@
 struct peering {
 	struct peering_options opts;
 	struct pl_set *links;
-	GArray *wire_members; /* strings of the members list */
+	GArray *wire_members; /* wire_member, strings owned */
 };
 
-/* Tells whether the entry that owns a job can be asked. */
 enum api_owner
-peering_owner(struct peering *pr, uint64_t incarnation)
+peering_owner_state(struct peering *pr, uint64_t incarnation)
 {
 	if (pl_is_connected(pr->links, incarnation))
 		return API_OWNER_REACHABLE;
@@ -22,7 +21,6 @@
 	return API_OWNER_UNREACHABLE;
 }
 
-/* Sends a request about a job to its owner. */
 bool
 peering_forward(struct peering *pr, uint64_t incarnation,
     const struct api_request *request, api_answer_fn fn, void *fn_ctx)
@@ -66,7 +64,7 @@
 }
 
 static uint64_t
-version_held(void *ctx)
+held_version(void *ctx)
 {
 	struct peering *pr = ctx;
 
@@ -93,7 +91,7 @@
 }
 
 static void
-take_document(struct peering *pr, const wire_config *config)
+apply_document(struct peering *pr, const wire_config *config)
 {
 	struct status st;
 	struct cfg *cfg;
@@ -103,7 +101,9 @@
 	cfg = cfg_parse(
 	    config->document.document_val, config->document.document_len, &st);
 	if (cfg == NULL) {
-		log_line(LOG_ERR, "configuration from a peer: %s", st.message);
+		log_line(LOG_ERR,
+		    "ignored an invalid configuration from a peer: %s",
+		    st.message);
 		return;
 	}
 	fresh_take(pr->opts.fresh, cfg);
@@ -123,13 +123,13 @@
 	    .as_of_ms = sent_ms,
 	};
 
-	take_document(pr, &result->config);
+	apply_document(pr, &result->config);
 	quo_answer(pr->opts.quorum, &answer, clk_now_ms());
 	chg_tick(pr->opts.change);
 }
 
 static void
-clear_member(gpointer data)
+member_clear(gpointer data)
 {
 	wire_member *member = data;
 
@@ -138,9 +138,9 @@
 	g_free(member->address);
 }
 
-/* Dials the seeds of the settings and the registered entries. */
+/* Connects to the seeds of the settings and to the registered entries. */
 static void
-update_targets(struct peering *pr)
+update_peers(struct peering *pr)
 {
 	GPtrArray *addresses = g_ptr_array_new();
 	const char *own = pr->opts.self->address;
@@ -162,9 +162,8 @@
 	g_ptr_array_unref(addresses);
 }
 
-/* Takes the list of registered entries. */
 void
-peering_update(struct peering *pr)
+peering_update_members(struct peering *pr)
 {
 	const struct mem_entry *list;
 	wire_member member;
@@ -179,10 +178,9 @@
 		member.address = g_strdup(list[i].address);
 		g_array_append_val(pr->wire_members, member);
 	}
-	update_targets(pr);
+	update_peers(pr);
 }
 
-/* Makes the links and dials the seeds. */
 struct peering *
 peering_new(const struct peering_options *opts)
 {
@@ -194,7 +192,7 @@
 	    .silence_ms = opts->silence_ms,
 	    .status_ms = opts->status_ms,
 	    .fill_status = fill_status,
-	    .version_held = version_held,
+	    .version_held = held_version,
 	    .on_status = on_peer_status,
 	    .on_job = serve_peer_job,
 	    .cancel_job = cancel_peer_job,
@@ -203,13 +201,12 @@
 
 	pr->opts = *opts;
 	pr->wire_members = g_array_new(FALSE, FALSE, sizeof(wire_member));
-	g_array_set_clear_func(pr->wire_members, clear_member);
+	g_array_set_clear_func(pr->wire_members, member_clear);
 	pr->links = pl_set_new(&links);
-	update_targets(pr);
+	update_peers(pr);
 	return pr;
 }
 
-/* Frees the links and the list. */
 void
 peering_free(struct peering *pr)
 {
@@ -218,14 +215,12 @@
 	g_free(pr);
 }
 
-/* Returns the links, to which accepted connections go. */
 struct pl_set *
 peering_links(struct peering *pr)
 {
 	return pr->links;
 }
 
-/* Returns the registered entries. */
 const wire_member *
 peering_members(const struct peering *pr, size_t *n, uint64_t *digest)
 {
--- a/src/process/peering.h
+++ b/src/process/peering.h
@@ -12,16 +12,16 @@
 #include "version/members.h"
 
 /*
- * What an entry does with the other entries: exchanges the state of the
- * configuration, forwards requests about jobs, and follows the list of
- * registered entries.
+ * Communication with the other entries: exchanges the state of the
+ * configuration, forwards requests about a job to the entry that owns it, and
+ * connects to the registered entries.
  */
 struct peering;
 
 struct peering_options {
 	const wire_member *self; /* borrowed, as everything below */
 	const char *cluster_key;
-	char *const *seeds; /* NULL-terminated addresses, or NULL */
+	char *const *seeds; /* NULL-terminated "ip:port" list, or NULL */
 	struct ctr_registry *counters;
 	struct fresh *fresh;
 	struct quo *quorum;
@@ -29,19 +29,22 @@
 	struct mem *members;
 	struct api *api;
 	int64_t silence_ms;
-	int64_t status_ms; /* between two exchanges */
+	int64_t status_ms; /* interval of configuration state exchanges */
 };
 
 struct peering *peering_new(const struct peering_options *opts);
-/* Closes every connection; answers that are awaited never come. */
+/* Closes every connection; forwarded requests get no answer. */
 void peering_free(struct peering *pr);
-/* Owned by pr. */
+/* The set that takes accepted peer connections; owned by pr. */
 struct pl_set *peering_links(struct peering *pr);
-/* The registered entries as messages carry them; owned by pr. */
+/* The registered entries in wire format; owned by pr. */
 const wire_member *peering_members(
     const struct peering *pr, size_t *n, uint64_t *digest);
-void peering_update(struct peering *pr);
-enum api_owner peering_owner(struct peering *pr, uint64_t incarnation);
+/* Call it when the list of registered entries has changed. */
+void peering_update_members(struct peering *pr);
+/* Tells whether the entry that owns a job can be reached. */
+enum api_owner peering_owner_state(struct peering *pr, uint64_t incarnation);
+/* Forwards a request about a job to its owner; fn runs once if true. */
 bool peering_forward(struct peering *pr, uint64_t incarnation,
     const struct api_request *request, api_answer_fn fn, void *fn_ctx);
 
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -5,23 +5,23 @@
 #include "log.h"
 #include "settings.h"
 
-#define KB	  1024LL
-#define MB	  (1024 * KB)
+#define KIB	  1024LL
+#define MIB	  (1024 * KIB)
 #define HOUR_MS	  3600000LL
 #define MAX_PEERS 64
 
 enum kind { NAME, ADDRESS, URL, SECRET, LEVEL, INT64, UINT32, UINT64, SEEDS };
 
-/* One setting: where its value goes, its default and its range. */
+/* A setting: its key, type, member of the struct, default and range. */
 struct field {
 	const char *key;
 	enum kind kind;
 	enum jsonc_need need;
 	size_t offset;
-	const char *text; /* default of the string kinds */
-	int64_t value;	  /* default of the integer kinds */
-	int64_t min;
-	int64_t max;
+	const char *default_text; /* default of a string */
+	int64_t default_int;	  /* default of an integer */
+	int64_t min;		  /* of an integer, or number of seeds */
+	int64_t max;		  /* of an integer */
 };
 
 #define E(member) offsetof(struct set_entry, member)
@@ -54,8 +54,8 @@
     {"drain_timeout_ms", INT64, OPT, E(drain_timeout_ms), NULL, 30000, 0, HOUR_MS},
     {"max_jobs", UINT32, OPT, E(max_jobs), NULL, 100000, 1, 10000000},
     {"max_tasks", UINT32, OPT, E(max_tasks), NULL, 2000, 1, 100000},
-    {"max_answer_bytes", UINT64, OPT, E(max_answer_bytes), NULL, 64 * MB, KB, 1024 * MB},
-    {"max_body_bytes", UINT64, OPT, E(max_body_bytes), NULL, 16 * MB, KB, 1024 * MB},
+    {"max_answer_bytes", UINT64, OPT, E(max_answer_bytes), NULL, 64 * MIB, KIB, 1024 * MIB},
+    {"max_body_bytes", UINT64, OPT, E(max_body_bytes), NULL, 16 * MIB, KIB, 1024 * MIB},
     {"agent_queue", UINT32, OPT, E(agent_queue), NULL, 1, 0, 1000},
     {"trace_spans", UINT32, OPT, E(trace_spans), NULL, 4096, 0, 1000000},
 };
@@ -75,7 +75,7 @@
     {"drain_timeout_ms", INT64, OPT, A(drain_timeout_ms), NULL, 30000, 0, HOUR_MS},
     {"entry_connections", UINT32, OPT, A(entry_connections), NULL, 8, 1, 256},
     {"max_queue", UINT32, OPT, A(max_queue), NULL, 64, 0, 100000},
-    {"max_answer_bytes", UINT64, OPT, A(max_answer_bytes), NULL, 1 * MB, KB, 1 * MB},
+    {"max_answer_bytes", UINT64, OPT, A(max_answer_bytes), NULL, 1 * MIB, KIB, 1 * MIB},
     {"trace_spans", UINT32, OPT, A(trace_spans), NULL, 4096, 0, 1000000},
 };
 
@@ -108,7 +108,7 @@
 #define N_JOB_ENTRY (sizeof(job_entry_fields) / sizeof(job_entry_fields[0]))
 #define N_JOB_AGENT (sizeof(job_agent_fields) / sizeof(job_agent_fields[0]))
 
-/* Tells whether s is "ip:port" or "[ip6]:port". */
+/* Tells whether s is "ip:port" or "[ipv6]:port". */
 static bool
 is_address(const char *s)
 {
@@ -132,9 +132,9 @@
 	return true;
 }
 
-/* Returns what a string of this kind should be, or NULL when it is fine. */
+/* Returns an error text for a string of this kind, or NULL if it is valid. */
 static const char *
-string_fault(enum kind kind, const char *s)
+string_error(enum kind kind, const char *s)
 {
 	switch (kind) {
 	case ADDRESS:
@@ -161,21 +161,21 @@
 read_string(const struct jsonc_node *root, const struct field *field,
     char **out, struct status *st)
 {
-	const char *fault;
+	const char *error;
 
 	g_free(*out);
-	*out = g_strdup(field->text);
+	*out = g_strdup(field->default_text);
 	if (field->kind == NAME)
 		return jsonc_name(root, field->key, field->need, out, st);
 	if (!jsonc_string(root, field->key, field->need, out, st))
 		return false;
-	fault = *out == NULL ? NULL : string_fault(field->kind, *out);
-	if (fault == NULL)
+	error = *out == NULL ? NULL : string_error(field->kind, *out);
+	if (error == NULL)
 		return true;
 	if (field->kind == SECRET)
-		return jsonc_error(root, field->key, st, "%s", fault);
+		return jsonc_error(root, field->key, st, "%s", error);
 	return jsonc_error(
-	    root, field->key, st, "%s, got \"%.80s\"", fault, *out);
+	    root, field->key, st, "%s, got \"%.80s\"", error, *out);
 }
 
 static bool
@@ -205,7 +205,7 @@
 read_int(const struct jsonc_node *root, const struct field *field, void *out,
     struct status *st)
 {
-	int64_t n = field->value;
+	int64_t n = field->default_int;
 
 	if (!jsonc_int(
 		root, field->key, field->need, field->min, field->max, &n, st))
@@ -257,7 +257,10 @@
 	g_free(set);
 }
 
-/* Polling or heartbeats less than twice per freshness_ms stop all work. */
+/*
+ * With a period above half of freshness_ms, a single missed poll or heartbeat
+ * would make the configuration stale, and no task starts while it is stale.
+ */
 static bool
 check_period(const struct jsonc_node *root, const char *key, int64_t period_ms,
     int64_t freshness_ms, struct status *st)
@@ -271,8 +274,9 @@
 }
 
 /*
- * Refuses an address that every machine has.  Others could not reach it, and
- * the entry would take the voters of other machines for its predecessors.
+ * Refuses a wildcard address.  Other processes can't connect to it.  Entries
+ * on all machines would share it, and each would take the voters at that
+ * address for former incarnations of itself.
  */
 static bool
 check_reachable(const struct jsonc_node *root, const char *key,
@@ -300,7 +304,6 @@
 		   set->freshness_ms, st);
 }
 
-/* Reads the settings of spentryd. */
 struct set_entry *
 set_entry_load(const char *path, struct status *st)
 {
@@ -323,7 +326,6 @@
 	return NULL;
 }
 
-/* Reads the settings of spagentd. */
 struct set_agent *
 set_agent_load(const char *path, struct status *st)
 {
@@ -380,14 +382,12 @@
 	return NULL;
 }
 
-/* Reads the settings of spjobd as an entry. */
 struct set_job *
 set_job_entry_load(const char *path, struct status *st)
 {
 	return load_job(path, job_entry_fields, N_JOB_ENTRY, st);
 }
 
-/* Reads the settings of spjobd as an agent. */
 struct set_job *
 set_job_agent_load(const char *path, struct status *st)
 {
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -14,11 +14,11 @@
 	char *listen;		/* "ip:port", callers' HTTP */
 	char *operator_listen;	/* "ip:port", operators' HTTP */
 	char *rpc_listen;	/* "ip:port", agents and peers */
-	char *rpc_address;	/* as others reach it; default rpc_listen */
-	char *operator_address; /* default operator_listen */
+	char *rpc_address;	/* advertised; default rpc_listen */
+	char *operator_address; /* advertised; default operator_listen */
 	char *store;		/* "http://ip:port" */
 	char *cluster_key;
-	char **peers; /* rpc seeds, NULL-terminated; may be empty */
+	char **peers; /* rpc seed addresses, NULL-terminated; may be empty */
 	char *log_level;
 	char *policy; /* placement policy, see docs/POLICY.md */
 	int64_t freshness_ms;
@@ -33,7 +33,7 @@
 	uint32_t max_tasks; /* in one job */
 	uint64_t max_answer_bytes;
 	uint64_t max_body_bytes;
-	uint32_t agent_queue; /* tasks sent ahead of a free slot */
+	uint32_t agent_queue; /* tasks sent to an agent beyond its slots */
 	uint32_t trace_spans;
 };
 
@@ -44,7 +44,7 @@
 	char *region;
 	char *rack;
 	char *listen;	/* "ip:port", local HTTP */
-	char **entries; /* rpc seeds, NULL-terminated */
+	char **entries; /* rpc seed addresses, NULL-terminated */
 	char *cluster_key;
 	char *log_level;
 	int64_t freshness_ms;
@@ -52,31 +52,31 @@
 	int64_t silence_ms;
 	int64_t drain_timeout_ms;
 	uint32_t entry_connections;
-	uint32_t max_queue; /* starts waiting for a slot */
+	uint32_t max_queue; /* starts queued for a slot */
 	uint64_t max_answer_bytes;
 	uint32_t trace_spans;
 };
 
 /*
- * Settings of spjobd in one of its roles.  Strings are owned by the struct;
- * what the role does not use is NULL or 0.
+ * Settings of spjobd, as an entry or as an agent.  Strings are owned by the
+ * struct; members that the role does not use are NULL or 0.
  */
 struct set_job {
 	char *name;
 	char *failure_domain;
-	char *listen;	      /* "ip:port"; entry: clients, agent: entries */
-	char *ready_listen;   /* entry: "ip:port", the balancer's check */
+	char *listen;	      /* "ip:port"; entry: callers, agent: entries */
+	char *ready_listen;   /* entry: "ip:port", load balancer's check */
 	char *worker_listen;  /* agent: "ip:port", the worker's heartbeats */
-	char *advertise;      /* agent; where entries reach it, NULL: listen */
+	char *advertise;      /* agent: address for entries; NULL: listen */
 	char *metrics_listen; /* "ip:port" */
 	char *store;	      /* "ip:port" */
 	int64_t lease_ms;     /* longest lease that a worker grants */
-	int64_t drain_ms;     /* time that a graceful shutdown takes */
-	int64_t cross_rack_percent; /* time of a task away from its data */
-	uint32_t log_lines_per_s;   /* of each kind */
+	int64_t drain_ms;     /* longest time of a graceful shutdown */
+	int64_t cross_rack_percent; /* run time off the preferred rack */
+	uint32_t log_lines_per_s;   /* of each event type */
 };
 
-/* NULL on error, with file, line, key and what was expected in st. */
+/* NULL on error; st names the file, line, key and the expected value. */
 struct set_entry *set_entry_load(const char *path, struct status *st);
 struct set_agent *set_agent_load(const char *path, struct status *st);
 struct set_job *set_job_entry_load(const char *path, struct status *st);
--- a/src/process/status.c
+++ b/src/process/status.c
@@ -4,10 +4,6 @@
 
 #include "status.h"
 
-/*
- * Sets the code and the message of a status and returns the code, so that a
- * function can end with "return st_set(...)".  A NULL status is allowed.
- */
 enum st_code
 st_set(struct status *st, enum st_code code, const char *fmt, ...)
 {
@@ -22,10 +18,6 @@
 	return code;
 }
 
-/*
- * Turns the error of a lower layer into one of the calling layer: the new
- * message goes in front of the old one.
- */
 enum st_code
 st_wrap(struct status *st, enum st_code code, const char *fmt, ...)
 {
@@ -48,7 +40,6 @@
 	return code;
 }
 
-/* Returns the name of a code as it is used in logs. */
 const char *
 st_name(enum st_code code)
 {
--- a/src/process/status.h
+++ b/src/process/status.h
@@ -4,10 +4,10 @@
 /* Error codes shared by the modules of one process. */
 enum st_code {
 	ST_OK = 0,
-	ST_INVALID,  /* argument, settings or message is malformed */
-	ST_CONFLICT, /* a concurrent change won, or the id has another body */
+	ST_INVALID,  /* malformed argument, settings or message */
+	ST_CONFLICT, /* a concurrent change won, or id reused for another body */
 	ST_NOT_FOUND,
-	ST_UNAVAILABLE, /* peer or store can't be reached now */
+	ST_UNAVAILABLE, /* peer or store is unreachable */
 	ST_TIMEOUT,
 	ST_LIMIT,   /* queue, quota or size limit reached */
 	ST_UNKNOWN, /* the request may or may not have taken effect */
@@ -16,16 +16,19 @@
 
 #define ST_MESSAGE_MAX 512
 
-/* A status with its last message; plain data, copied by value. */
+/* An error code and its message; may be copied by value. */
 struct status {
 	enum st_code code;
 	char message[ST_MESSAGE_MAX];
 };
 
+/* Sets code and message, and returns code.  st may be NULL. */
 enum st_code st_set(struct status *st, enum st_code code, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
+/* Sets code and puts the message before the present one: "new: old". */
 enum st_code st_wrap(struct status *st, enum st_code code, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
+/* Name of a code for logs. */
 const char *st_name(enum st_code code);
 
 #endif
--- a/src/process/trace.c
+++ b/src/process/trace.c
@@ -22,7 +22,7 @@
 struct trc_ring {
 	uint32_t size;
 	uint32_t used;
-	uint32_t next; /* slot of the next span */
+	uint32_t next; /* index of the next span */
 	struct span *spans;
 };
 
@@ -33,7 +33,6 @@
 	g_clear_pointer(&span->detail, g_free);
 }
 
-/* Creates a ring of at least one span. */
 struct trc_ring *
 trc_new(uint32_t max_spans)
 {
@@ -44,7 +43,6 @@
 	return ring;
 }
 
-/* Frees the ring and its spans. */
 void
 trc_free(struct trc_ring *ring)
 {
@@ -76,7 +74,7 @@
 	return strspn(s, "0") >= len;
 }
 
-/* Follows W3C Trace Context: a later version may append fields. */
+/* By W3C Trace Context; versions above 00 may append fields. */
 static bool
 is_valid_parent(const char *parent)
 {
@@ -118,10 +116,6 @@
 		out[len - 1] = '1';
 }
 
-/*
- * Starts a span below the span that traceparent names.  A missing or invalid
- * traceparent starts a new trace.
- */
 void
 trc_start(struct trc_context *span, const char *traceparent)
 {
@@ -135,7 +129,6 @@
 	memcpy(span->parent_id, traceparent + SPAN_ID_POS, TRC_SPAN_ID_LEN);
 }
 
-/* Writes the traceparent for calls made within the span; always sampled. */
 void
 trc_format(const struct trc_context *span, char out[TRC_PARENT_LEN + 1])
 {
@@ -143,10 +136,6 @@
 	    span->span_id);
 }
 
-/*
- * Stores a finished span in place of the oldest one.  start_wall_us is
- * microseconds since the epoch.
- */
 void
 trc_finish(struct trc_ring *ring, const struct trc_context *ctx,
     const char *name, int64_t start_wall_us, int64_t duration_us, bool ok,
@@ -191,10 +180,6 @@
 	return obj;
 }
 
-/*
- * Returns the stored spans, oldest first, as a JSON array: those of one trace,
- * or all when trace_id is NULL.  The caller frees the text with g_free().
- */
 char *
 trc_json(const struct trc_ring *ring, const char *trace_id)
 {
--- a/tests/test_counters.c
+++ b/tests/test_counters.c
@@ -3,7 +3,7 @@
 #include "process/counters.h"
 #include "runner.h"
 
-/* A scraper rejects a family whose samples or TYPE lines are split up. */
+/* Scrapers reject families with two TYPE lines or non-contiguous samples. */
 START_TEST(families_are_grouped)
 {
 	struct ctr_registry *reg = ctr_new();
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-/* A HELP text with a line break would end its line early. */
+/* An unescaped line break in a HELP text would make the exposition invalid. */
 START_TEST(help_is_escaped)
 {
 	struct ctr_registry *reg = ctr_new();
@@ -38,7 +38,7 @@
 }
 END_TEST
 
-/* Modules keep the pointer, so later additions must not move the value. */
+/* Callers keep pointers to values, so adding counters must not move them. */
 START_TEST(values_do_not_move)
 {
 	struct ctr_registry *reg = ctr_new();
--- a/tests/test_events.c
+++ b/tests/test_events.c
@@ -7,7 +7,7 @@
 #include "process/events.h"
 #include "runner.h"
 
-#define LINES 5
+#define LINES_PER_S 5
 
 static int
 open_pipe(uint32_t lines_per_s)
@@ -37,10 +37,10 @@
 	return text;
 }
 
-/* Each line is one JSON object with the common fields. */
+/* A line must be one valid JSON object with the event type and all fields. */
 START_TEST(line_is_json)
 {
-	int fd = open_pipe(LINES);
+	int fd = open_pipe(LINES_PER_S);
 	struct json_object *line, *value;
 
 	evt_write("job", "\"job\":\"%s\",\"ms_held\":%d", "ab", 7);
@@ -54,27 +54,27 @@
 }
 END_TEST
 
-/* A kind that writes too much leaves lines out and counts them. */
-START_TEST(kinds_are_bounded)
+/* Lines beyond the limit of their type must be suppressed and counted. */
+START_TEST(event_types_are_rate_limited)
 {
-	int fd = open_pipe(LINES);
+	int fd = open_pipe(LINES_PER_S);
 	int i, n = 0;
 	char *p;
 
-	for (i = 0; i < 3 * LINES; i++)
+	for (i = 0; i < 3 * LINES_PER_S; i++)
 		evt_write("job", "\"i\":%d", i);
 	evt_write("store", "\"i\":%d", i);
 	for (p = read_all(fd); (p = strchr(p, '\n')) != NULL; p++)
 		n++;
-	/* The clock may have passed into another second. */
-	ck_assert_int_ge(n, LINES + 1);
-	ck_assert_int_le(n, 2 * LINES + 1);
-	ck_assert_int_eq((int)evt_suppressed(), 3 * LINES + 1 - n);
+	/* The lines may fall into two seconds. */
+	ck_assert_int_ge(n, LINES_PER_S + 1);
+	ck_assert_int_le(n, 2 * LINES_PER_S + 1);
+	ck_assert_int_eq((int)evt_suppressed(), 3 * LINES_PER_S + 1 - n);
 }
 END_TEST
 
-/* A reader that stopped must not stop the process. */
-START_TEST(full_pipe_drops)
+/* A full pipe must not block the process; later lines must be complete. */
+START_TEST(full_pipe_does_not_block)
 {
 	int fd = open_pipe(1000000);
 	int i;
@@ -88,10 +88,10 @@
 }
 END_TEST
 
-/* A line that does not fit is dropped whole. */
+/* A line that exceeds the buffer must be dropped, not truncated. */
 START_TEST(long_line_is_dropped)
 {
-	int fd = open_pipe(LINES);
+	int fd = open_pipe(LINES_PER_S);
 	g_autofree char *text = g_strnfill(5000, 'x');
 
 	evt_write("job", "\"text\":\"%s\"", text);
@@ -100,5 +100,5 @@
 }
 END_TEST
 
-TEST_MAIN("events", 0, line_is_json, kinds_are_bounded, full_pipe_drops,
-    long_line_is_dropped)
+TEST_MAIN("events", 0, line_is_json, event_types_are_rate_limited,
+    full_pipe_does_not_block, long_line_is_dropped)
--- a/tests/test_histogram.c
+++ b/tests/test_histogram.c
@@ -3,7 +3,7 @@
 #include "process/histogram.h"
 #include "runner.h"
 
-/* Buckets are cumulative: a wrong bound would falsify every percentile. */
+/* Non-cumulative buckets or a wrong bound would distort every percentile. */
 START_TEST(buckets_are_cumulative)
 {
 	struct ctr_registry *reg = ctr_new();
--- a/tests/test_jsonc.c
+++ b/tests/test_jsonc.c
@@ -4,7 +4,7 @@
 #include "process/jsonc.h"
 #include "runner.h"
 
-/* A text that json-c would accept in part must be refused with a position. */
+/* Invalid texts that json-c would accept must be refused with a position. */
 static char *
 check_text(const char *name, const char *input)
 {
@@ -17,7 +17,7 @@
 	return g_strdup(st.message);
 }
 
-/* Every prefix of a valid text must be refused without reading past it. */
+/* Every truncated text must be refused without reading beyond its end. */
 START_TEST(truncated_text_is_refused)
 {
 	const char *text =
@@ -34,7 +34,7 @@
 }
 END_TEST
 
-/* Getters must keep defaults and name the key at fault. */
+/* Getters must keep defaults of absent keys and report the invalid key. */
 START_TEST(getters_check_types)
 {
 	const char *text = "{\"n\": 5, \"s\": \"x y\", \"a\": [{\"k\": 1}]}";
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -16,7 +16,7 @@
 struct inbox {
 	struct mbx *mbx;
 	int next[N_SENDERS];
-	int taken;
+	int n_handled;
 };
 
 struct sender {
@@ -24,7 +24,7 @@
 	int index;
 };
 
-static int discarded;
+static int n_discarded;
 
 static void
 take(void *data, void *ctx)
@@ -33,14 +33,14 @@
 	struct inbox *inbox = ctx;
 
 	ck_assert_int_eq(message->number, inbox->next[message->sender]++);
-	inbox->taken++;
+	inbox->n_handled++;
 	g_free(message);
 }
 
 static void
 discard(gpointer data)
 {
-	discarded++;
+	n_discarded++;
 	g_free(data);
 }
 
@@ -74,8 +74,8 @@
 	inbox->mbx = mbx_new(&opts);
 }
 
-/* Fails when a message is lost, out of order, or does not wake the loop. */
-START_TEST(many_senders)
+/* Fails if a message is lost, out of order, or does not wake the main loop. */
+START_TEST(concurrent_senders)
 {
 	struct inbox inbox = {0};
 	struct sender senders[N_SENDERS];
@@ -87,7 +87,7 @@
 		senders[i] = (struct sender){&inbox, i};
 		threads[i] = g_thread_new("sender", run_sender, &senders[i]);
 	}
-	while (inbox.taken < N_SENDERS * N_MESSAGES)
+	while (inbox.n_handled < N_SENDERS * N_MESSAGES)
 		g_main_context_iteration(NULL, TRUE);
 	for (i = 0; i < N_SENDERS; i++)
 		g_thread_join(threads[i]);
@@ -95,8 +95,8 @@
 }
 END_TEST
 
-/* Fails when a message that nobody took leaks or is taken after the end. */
-START_TEST(discards_the_rest)
+/* Fails if messages pending at mbx_free() leak or are handled after it. */
+START_TEST(pending_messages_are_discarded)
 {
 	struct inbox inbox = {0};
 
@@ -106,9 +106,9 @@
 	mbx_free(inbox.mbx);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
-	ck_assert_int_eq(inbox.taken, 0);
-	ck_assert_int_eq(discarded, 2);
+	ck_assert_int_eq(inbox.n_handled, 0);
+	ck_assert_int_eq(n_discarded, 2);
 }
 END_TEST
 
-TEST_MAIN("mailbox", 0, many_senders, discards_the_rest)
+TEST_MAIN("mailbox", 0, concurrent_senders, pending_messages_are_discarded)
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -34,7 +34,7 @@
 	return g_str_has_prefix(name, "agent") ? agent_base : entry_base;
 }
 
-/* The status of loading a file by the rules of the program in the name. */
+/* Loads a settings file for the program that the case title starts with. */
 static struct status
 load_file(const char *name, const char *path)
 {
@@ -51,7 +51,7 @@
 	return st;
 }
 
-/* A bad setting must stop the daemon with a message that locates it. */
+/* An invalid setting must be refused with a message that locates it. */
 static char *
 load(const char *name, const char *input)
 {
@@ -72,7 +72,7 @@
 	return actual;
 }
 
-/* A missing file must be reported, not treated as empty. */
+/* A missing file must be an error, not an empty settings file. */
 START_TEST(missing_file_is_reported)
 {
 	struct status st;
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -3,7 +3,7 @@
 #include "process/status.h"
 #include "runner.h"
 
-/* A wrapped message must keep the cause and never overflow its buffer. */
+/* Wrapping must keep the original message and must not overflow the buffer. */
 START_TEST(wrap_keeps_cause)
 {
 	struct status st;
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -28,7 +28,7 @@
     {NULL, false},
 };
 
-/* An invalid header must start a new trace and never be copied onward. */
+/* An invalid traceparent must start a new trace and not be propagated. */
 START_TEST(traceparent_is_checked)
 {
 	struct trc_context span, child;
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-/* The ring is bounded: the oldest span is replaced, order is kept. */
+/* A full ring must replace the oldest span and return spans in order. */
 START_TEST(ring_keeps_latest)
 {
 	struct trc_ring *ring = trc_new(3);
