--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -23,7 +23,7 @@
 #define MIN_RESULT_RECORDS	  4096
 #define MAX_UNACKED_RESULT_BYTES  33554432
 #define MAX_RECORDED_ENTRIES	  32
-/* Records of an entry that no member list contains are kept this long. */
+/* Records of a disconnected entry in no member list are kept this long. */
 #define ENDED_ENTRY_RETENTION_MS 60000
 
 struct agent {
@@ -266,12 +266,12 @@
 	return ex_running(agent->ex);
 }
 
-/* Classifies the entry incarnations that have records here. */
+/* Classification of the entry incarnations that have records here. */
 struct entry_scan {
 	struct agent *agent;
 	GArray *unlisted; /* disconnected and in no member list */
 	GArray *expired;  /* those of them past the retention time */
-	bool ack_pending; /* any other entry, which may yet acknowledge */
+	bool ack_pending; /* another entry may still acknowledge results */
 };
 
 static void
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -101,7 +101,7 @@
 		    G_PRIORITY_DEFAULT, run_dispatch, entry, NULL);
 }
 
-/* Dispatch to agents. */
+/* Callbacks of the dispatcher. */
 
 static bool
 send_starts(void *agent, const wire_start *starts, size_t n, void *ctx)
@@ -125,7 +125,7 @@
 	api_ended(entry->api, job);
 }
 
-/* Agents to dispatch. */
+/* Callbacks of the agent connections. */
 
 static uint64_t
 next_seq(void *ctx)
@@ -215,7 +215,7 @@
 	facts->place = entry->place;
 }
 
-/* The other entries. */
+/* Communication with other entries. */
 
 static enum api_owner
 owner_state(uint64_t incarnation, void *ctx)
@@ -251,7 +251,7 @@
 	peering_update_members(entry->peering);
 }
 
-/* Configuration. */
+/* Changes of the configuration. */
 
 static void
 on_config_changed(struct cfg *cfg, void *ctx)
@@ -264,7 +264,7 @@
 	schedule_dispatch(entry);
 }
 
-/* Timers. */
+/* Timers and shutdown. */
 
 static gboolean
 on_tick(gpointer data)
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -14,12 +14,12 @@
 #define MAX_QUEUED_STARTS  4096
 #define RESULT_UPDATE_MS   4  /* batches results that arrive close together */
 #define CAPACITY_UPDATE_MS 15 /* for changes of free capacity only */
-/* An update answers a heartbeat if the last one was sent longer ago. */
+/* A heartbeat is answered if the last update was sent longer ago than this. */
 #define HEARTBEAT_REPLY_MS 200
 /*
- * A session without input for longer is closed.  If this process was paused
- * for longer, the entry may have given up the session, so its buffered calls
- * must not be processed.
+ * A session without input for this long is closed.  If this process was paused
+ * for that time, the entry may have given up the session, so that its buffered
+ * calls must not be processed.
  */
 #define ENTRY_SILENCE_MS 800
 
@@ -302,7 +302,7 @@
 	return is_accepting(ja, reason);
 }
 
-/* Context of a call to the worker about one run. */
+/* Callback context of a call to the worker about one run. */
 struct run_context {
 	struct ja *ja;
 	int64_t run;
@@ -360,7 +360,7 @@
 }
 
 static void
-request_report(void *ctx)
+request_worker_report(void *ctx)
 {
 	struct ja *ja = ctx;
 
@@ -486,7 +486,7 @@
 	ja->lost = ctr_counter(
 	    reg, "sp_runs_lost_total", "Runs ended without an outcome.");
 	ja->sessions_lost = ctr_counter(
-	    reg, "sp_sessions_lost_total", "Connections of entries lost.");
+	    reg, "sp_sessions_lost_total", "Entry connections lost.");
 	ja->run_times =
 	    hst_new(reg, "sp_run_ms", "Time from start to end of done runs.");
 	ja->stalled = ctr_counter(reg, "sp_runs_stalled_total",
@@ -503,7 +503,7 @@
 	    .may_start = may_start,
 	    .start = start_run,
 	    .stop = stop_run,
-	    .look = request_report,
+	    .look = request_worker_report,
 	    .result = on_result,
 	    .ctx = ja,
 	};
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -22,11 +22,11 @@
 #define STORE_WATCH_MS 1500
 #define MAX_OPEN_JOBS  20000
 /*
- * The runs of a lost connection have ended after the time in which the agent
- * detects a silent entry, plus a margin for the stop call at the worker and
- * one message in each direction.
+ * Runs started over a lost connection have ended after the time in which the
+ * agent detects a silent entry, as in jobagent.c, plus a margin for the stop
+ * call at the worker and one message in each direction.
  */
-#define AGENT_SILENCE_MS   800
+#define ENTRY_SILENCE_MS   800
 #define STOP_MARGIN_MS	   300
 #define RETRY_AFTER_MIN_MS 1000
 /*
@@ -70,7 +70,7 @@
 	uint64_t next_ticket;
 	int64_t tick_ms;
 	int64_t drain_since_ms;
-	int64_t idle_since_ms; /* draining without open jobs since; 0: not */
+	int64_t idle_since_ms; /* draining, no job open since; 0: one is */
 	bool draining;
 	bool drained;
 	guint tick_id;
@@ -577,7 +577,7 @@
 	    ctr_counter(reg, "sp_jobs_accepted_total", "Jobs accepted.");
 	je->refused =
 	    ctr_counter(reg, "sp_jobs_refused_total", "Jobs refused.");
-	je->open_jobs = ctr_gauge(reg, "sp_jobs_open", "Jobs without an end.");
+	je->open_jobs = ctr_gauge(reg, "sp_jobs_open", "Jobs in progress.");
 	je->job_times = hst_new(
 	    reg, "sp_job_ms", "Time from a job's arrival to its completion.");
 	je->tasks_done = ctr_counter(reg, "sp_tasks_done_total", "Tasks done.");
@@ -610,7 +610,7 @@
 	struct sch_options sch = {
 	    .cross_rack_factor = opts->cross_rack_factor,
 	    .resolve_ms =
-		MAX(opts->lease_ms, AGENT_SILENCE_MS) + STOP_MARGIN_MS,
+		MAX(opts->lease_ms, ENTRY_SILENCE_MS) + STOP_MARGIN_MS,
 	    .max_jobs = MAX_OPEN_JOBS,
 	    .start = start_task,
 	    .flush = flush_agent,
@@ -689,7 +689,7 @@
 	fn(&a, ctx);
 }
 
-/* Returns the queue of a request, or answers with an error and NULL. */
+/* Returns the queue of a request; if none, answers it and returns NULL. */
 static const struct rts_queue *
 find_queue(struct je *je, const char *host, const char *path, je_answer_fn fn,
     void *ctx)
@@ -746,8 +746,8 @@
 }
 
 /*
- * A call submitted a job that is already open here: from now on this call
- * gets its result, and the earlier one is answered at once.
+ * Handles a job that is submitted again while it is open: the new call will
+ * get its result, and the former call is answered at once.
  */
 static uint64_t
 replace_waiter(struct je *je, const char *job, je_answer_fn fn, void *ctx)
--- a/src/process/jsonc.h
+++ b/src/process/jsonc.h
@@ -59,7 +59,7 @@
 /* Length of an array; 0 if the optional key is absent. */
 bool jsonc_array(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, size_t *n, struct status *st);
-/* The element at index, which must be below jsonc_array() and an object. */
+/* The object at an index below the array's length. */
 bool jsonc_item(const struct jsonc_node *node, const char *key, size_t index,
     struct jsonc_node *item, struct status *st);
 /* The object under a required key. */
--- a/src/process/jsonc_scan.c
+++ b/src/process/jsonc_scan.c
@@ -3,7 +3,7 @@
 #include "jsonc_scan.h"
 
 /*
- * State of the syntax check, which is stricter than json-c: that accepts
+ * State of a syntax check that is stricter than json-c, which accepts
  * duplicate keys and trailing commas.
  */
 struct scan {
--- a/src/process/peering.h
+++ b/src/process/peering.h
@@ -44,7 +44,7 @@
 void peering_update_members(struct peering *pr);
 /* Tells whether the entry that owns a job can be reached. */
 enum api_owner peering_owner_state(struct peering *pr, uint64_t incarnation);
-/* Forwards a request about a job to its owner; fn runs once if true. */
+/* Forwards a request to the owner of a job; if true, fn runs once. */
 bool peering_forward(struct peering *pr, uint64_t incarnation,
     const struct api_request *request, api_answer_fn fn, void *fn_ctx);
 
