--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -46,12 +46,12 @@
 	int64_t last_tick_ms;
 	int64_t drain_deadline_ms;
 	bool draining;
-	bool clean;
-	int64_t *busy;
-	int64_t *queued;
-	int64_t *open_links;
-	int64_t *version;
-	int64_t *age;
+	bool drained_in_time;
+	int64_t *busy_gauge;
+	int64_t *queued_gauge;
+	int64_t *links_gauge;
+	int64_t *version_gauge;
+	int64_t *age_gauge;
 };
 
 static void
@@ -324,8 +324,8 @@
 }
 
 /*
- * While draining, quits the main loop once no call is open and every result
- * has been acknowledged, or at the drain deadline.
+ * While draining, quits the main loop once no call is open and no connected or
+ * listed entry has results to acknowledge, or at the drain deadline.
  */
 static void
 quit_if_drained(struct agent *agent)
@@ -336,8 +336,9 @@
 		return;
 	classify_entries(agent, &scan);
 	scan_free_arrays(&scan);
-	agent->clean = ex_running(agent->ex) == 0 && !scan.ack_pending;
-	if (agent->clean || clk_now_ms() >= agent->drain_deadline_ms)
+	agent->drained_in_time =
+	    ex_running(agent->ex) == 0 && !scan.ack_pending;
+	if (agent->drained_in_time || clk_now_ms() >= agent->drain_deadline_ms)
 		g_main_loop_quit(agent->loop);
 }
 
@@ -354,11 +355,11 @@
 	struct wire_load load;
 
 	ex_get_load(agent->ex, &load);
-	*agent->busy = load.busy;
-	*agent->queued = load.queued;
-	*agent->open_links = es_open_links(agent->es);
-	*agent->version = (int64_t)fresh_version(agent->fresh);
-	*agent->age = fresh_age_ms(agent->fresh, clk_now_ms());
+	*agent->busy_gauge = load.busy;
+	*agent->queued_gauge = load.queued;
+	*agent->links_gauge = es_open_links(agent->es);
+	*agent->version_gauge = (int64_t)fresh_version(agent->fresh);
+	*agent->age_gauge = fresh_age_ms(agent->fresh, clk_now_ms());
 	rpc_export(agent->counters);
 }
 
@@ -403,13 +404,14 @@
 {
 	struct ctr_registry *reg = agent->counters;
 
-	agent->busy = ctr_gauge(reg, "sp_slots_busy", "Slots in use.");
-	agent->queued = ctr_gauge(reg, "sp_starts_queued", "Starts waiting.");
-	agent->open_links =
+	agent->busy_gauge = ctr_gauge(reg, "sp_slots_busy", "Slots in use.");
+	agent->queued_gauge =
+	    ctr_gauge(reg, "sp_starts_queued", "Starts waiting.");
+	agent->links_gauge =
 	    ctr_gauge(reg, "sp_entries_connected", "Entries connected.");
-	agent->version =
+	agent->version_gauge =
 	    ctr_gauge(reg, "sp_config_version", "Configuration held.");
-	agent->age = ctr_gauge(reg, "sp_config_age_ms",
+	agent->age_gauge = ctr_gauge(reg, "sp_config_age_ms",
 	    "Time since the configuration was confirmed, -1 never.");
 }
 
@@ -505,11 +507,11 @@
 agent_run(struct agent *agent)
 {
 	g_main_loop_run(agent->loop);
-	if (!agent->clean)
+	if (!agent->drained_in_time)
 		log_line(LOG_WARNING,
 		    "drain timeout passed with %u tasks running",
 		    ex_running(agent->ex));
-	return agent->clean;
+	return agent->drained_in_time;
 }
 
 void
--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -37,7 +37,7 @@
 	GHashTable *tasks; /* set of struct task, queued and running */
 	bool draining;
 	guint tick_id;
-	int64_t *starts;
+	int64_t *calls;
 	int64_t *outcomes[N_OUTCOMES];
 	int64_t *reasons[N_REASONS];
 };
@@ -72,7 +72,7 @@
 	struct ctr_registry *reg = ex->opts.counters;
 	size_t i;
 
-	ex->starts = ctr_counter(
+	ex->calls = ctr_counter(
 	    reg, "sp_endpoint_calls_total", "Calls made to the endpoint.");
 	for (i = 0; i < N_OUTCOMES; i++)
 		ex->outcomes[i] = labelled_counter(reg, "sp_results_total",
@@ -159,7 +159,7 @@
 
 /* Records an accepted task as not started and frees it. */
 static void
-return_task(struct task *task, enum wire_reason reason)
+return_not_started(struct task *task, enum wire_reason reason)
 {
 	struct ex *ex = task->ex;
 
@@ -216,7 +216,7 @@
 	trc_format(&task->call_span, traceparent);
 	task->call_start_ns = clk_now_ns();
 	task->call_start_wall_ms = clk_wall_ms();
-	(*ex->starts)++;
+	(*ex->calls)++;
 	out_running(ex->opts.out, task->rq.entry, task->rq.seq);
 	ep_call(ex->ep, &request, on_call_done, task);
 }
@@ -249,7 +249,7 @@
 		if (reason == WIRE_REASON_NONE)
 			call_endpoint((struct task *)task, now_ms);
 		else
-			return_task((struct task *)task, reason);
+			return_not_started((struct task *)task, reason);
 	}
 	if (rq_queued(ex->rq) > 0 && ex->tick_id == 0)
 		ex->tick_id = g_timeout_add(DEADLINE_CHECK_MS, on_tick, ex);
@@ -288,7 +288,7 @@
 	fill_gate(ex, &gate, now_ms);
 	reason = rq_push(ex->rq, &task->rq, &gate, now_ms);
 	if (reason != WIRE_REASON_NONE)
-		return_task(task, reason);
+		return_not_started(task, reason);
 }
 
 bool
@@ -323,7 +323,8 @@
 		    rq_withdraw(ex->rq, entry, args->seqs.seqs_val[i]);
 
 		if (task != NULL)
-			return_task((struct task *)task, WIRE_REASON_WITHDRAWN);
+			return_not_started(
+			    (struct task *)task, WIRE_REASON_WITHDRAWN);
 	}
 }
 
@@ -346,7 +347,7 @@
 	struct rq_task *task;
 
 	while ((task = rq_drop(ex->rq, entry)) != NULL)
-		return_task((struct task *)task, WIRE_REASON_WITHDRAWN);
+		return_not_started((struct task *)task, WIRE_REASON_WITHDRAWN);
 }
 
 void
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -74,7 +74,7 @@
 }
 
 static struct wk_size
-size_from(const run_size *size)
+size_from_wire(const run_size *size)
 {
 	return (struct wk_size){
 	    .cpu_milli = size->cpu_milli,
@@ -84,7 +84,7 @@
 }
 
 static run_size
-size_to(const struct wk_size *size)
+size_to_wire(const struct wk_size *size)
 {
 	return (run_size){
 	    .cpu_milli = size->cpu_milli,
@@ -119,7 +119,7 @@
 	    .service = ja->service,
 	    .failure_domain = ja->failure_domain,
 	    .labels = {g_strv_length(ja->labels), ja->labels},
-	    .capacity = size_to(&ja->capacity),
+	    .capacity = size_to_wire(&ja->capacity),
 	};
 
 	ses_send(ja->ses, session, RUN_WORKER, (xdrproc_t)xdr_run_worker_args,
@@ -142,7 +142,7 @@
 	led_room(ja->led, &room);
 	args = (run_update_args){
 	    .results = {box->results->len, (run_result *)box->results->data},
-	    .free = size_to(&room),
+	    .free = size_to_wire(&room),
 	    .accepting = is_accepting(ja, &reason),
 	};
 	ses_send(ja->ses, session, RUN_UPDATE, (xdrproc_t)xdr_run_update_args,
@@ -237,7 +237,7 @@
 		    .spec = s->spec < args->specs.specs_len
 				? args->specs.specs_val[s->spec]
 				: "",
-		    .size = size_from(&s->size),
+		    .size = size_from_wire(&s->size),
 		    .priority = s->priority,
 		    .expected_ms = s->expected_ms,
 		    .start_by_ms = now_ms + s->start_within_ms,
@@ -420,7 +420,7 @@
 }
 
 static bool
-lease_wanted(void *ctx)
+is_lease_needed(void *ctx)
 {
 	struct ja *ja = ctx;
 
@@ -436,7 +436,7 @@
 }
 
 static void
-on_lost(const char *reason, void *ctx)
+on_worker_lost(const char *reason, void *ctx)
 {
 	struct ja *ja = ctx;
 
@@ -511,9 +511,9 @@
 	    .wp = ja->opts.wp,
 	    .lease_ms = ja->opts.lease_ms,
 	    .token = clk_wall_ms(),
-	    .wanted = lease_wanted,
+	    .wanted = is_lease_needed,
 	    .report = on_report,
-	    .lost = on_lost,
+	    .lost = on_worker_lost,
 	    .changed = on_worker_changed,
 	    .ctx = ja,
 	};
