--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -35,7 +35,7 @@
 	enum je_result result;
 	const char *reason;
 	int64_t retry_ms;
-	uint32_t pending; /* jobs without a started task, for JE_COUNT */
+	uint32_t pending; /* jobs without a started task */
 };
 
 typedef void (*je_answer_fn)(const struct je_answer *answer, void *ctx);
