--- a/src/process/jobagent.h
+++ b/src/process/jobagent.h
@@ -39,7 +39,7 @@
 /* Handles a heartbeat of the worker. */
 void ja_heartbeat(struct ja *ja, const struct wp_worker *worker);
 /* The worker has deregistered: its runs are lost. */
-void ja_left(struct ja *ja, const char *instance);
+void ja_worker_left(struct ja *ja, const char *instance);
 /*
  * Refuses starts from now on; drained() runs when no task is running, at the
  * latest after drain_ms.
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -25,10 +25,10 @@
 	JE_REFUSED,    /* no task of the job ran or will run */
 	JE_OVERLOADED, /* no task ran or will run; retry after retry_ms */
 	JE_TIMEOUT,    /* the deadline passed; tasks may have run */
-	JE_BROKEN,     /* tasks may have run; the job may be sent again */
+	JE_ABORTED,    /* tasks may have run; the job may be sent again */
 	JE_UNKNOWN_JOB,
 	JE_RUNNING,
-	JE_COUNT
+	JE_PENDING_COUNT
 };
 
 struct je_answer {
@@ -41,7 +41,7 @@
 typedef void (*je_answer_fn)(const struct je_answer *answer, void *ctx);
 
 /* The adapter's keys in the store and the functions that parse them. */
-struct je_layout {
+struct je_store_layout {
 	const char *operators_prefix;
 	/* NULL when the items hold no valid configuration. */
 	struct rts *(*routes)(GHashTable *items, struct status *st);
@@ -52,8 +52,8 @@
 struct je_options {
 	const char *name;
 	const char *failure_domain;
-	const struct ks *ks;		/* borrowed */
-	const struct je_layout *layout; /* borrowed */
+	const struct ks *ks;		      /* borrowed */
+	const struct je_store_layout *layout; /* borrowed */
 	double cross_rack_factor; /* of the run time off the preferred rack */
 	int64_t lease_ms;	  /* longest lease that a worker grants */
 	int64_t drain_ms;	  /* longest time of a graceful shutdown */
@@ -83,13 +83,13 @@
 /* The caller has disconnected: fn does not run, and the job is cancelled. */
 void je_abandon(struct je *je, uint64_t ticket);
 /* Answers JE_RUNNING while the job is open here, else JE_UNKNOWN_JOB. */
-void je_state(struct je *je, const char *host, const char *path,
+void je_query_state(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
 /* Cancels an open job: answers JE_RUNNING, else JE_UNKNOWN_JOB. */
 void je_cancel(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
 /* Answers the number of jobs of the queue that have no started task. */
-void je_count(struct je *je, const char *host, const char *path,
+void je_count_pending(struct je *je, const char *host, const char *path,
     je_answer_fn fn, void *ctx);
 /* Starts a graceful shutdown. */
 void je_drain(struct je *je);
--- a/src/process/mailbox.h
+++ b/src/process/mailbox.h
@@ -13,7 +13,7 @@
 struct mbx_options {
 	GMainContext *context; /* NULL: the default one */
 	/* Handles a message and takes ownership of it. */
-	void (*take)(void *message, void *ctx);
+	void (*handle_message)(void *message, void *ctx);
 	/* Frees a message that was not handled before mbx_free(). */
 	GDestroyNotify discard;
 	void *ctx;
--- a/src/process/trace.h
+++ b/src/process/trace.h
@@ -28,7 +28,8 @@
  */
 void trc_start(struct trc_context *span, const char *traceparent);
 /* Writes the traceparent header for calls made within span; always sampled. */
-void trc_format(const struct trc_context *span, char out[TRC_PARENT_LEN + 1]);
+void trc_format_traceparent(
+    const struct trc_context *span, char out[TRC_PARENT_LEN + 1]);
 /*
  * Stores a finished span; a full ring drops the oldest one.  start_wall_us is
  * microseconds since the epoch.  name and detail are copied; detail may be
--- a/src/version/change.c
+++ b/src/version/change.c
@@ -129,7 +129,7 @@
 {
 	struct chg *chg = ctx;
 
-	return mem_is_gone(chg->opts.mem, incarnation, clk_now_ms());
+	return mem_is_deregistered(chg->opts.mem, incarnation, clk_now_ms());
 }
 
 static void
@@ -166,7 +166,7 @@
 		return;
 	}
 	version = cfg_version(cfg);
-	fresh_take(chg->opts.fresh, cfg);
+	fresh_update(chg->opts.fresh, cfg);
 	cfg_unref(cfg);
 	finish(chg, &ok, version);
 }
@@ -292,7 +292,7 @@
 
 /* Takes something out of service or back in. */
 void
-chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
+chg_set_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
     const char *change_id, chg_done_fn fn, void *ctx)
 {
 	struct op *op = op_new(DRF_OUT, change_id, fn, ctx);
@@ -305,7 +305,7 @@
 
 /* See the header. */
 void
-chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
+chg_mark_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
     chg_done_fn fn, void *ctx)
 {
 	struct op *op = op_new(DRF_ENDED, change_id, fn, ctx);
@@ -369,14 +369,14 @@
 
 /* Returns what this entry tells a peer about itself, as of now. */
 struct quo_answer
-chg_self(const struct chg *chg)
+chg_own_answer(const struct chg *chg)
 {
 	int64_t now_ms = clk_now_ms();
 	struct quo_answer answer = {.incarnation = chg->opts.self.incarnation,
 	    .version = fresh_version(chg->opts.fresh),
 	    .store_age_ms = rdr_store_age_ms(chg->opts.rdr, now_ms),
-	    .vouches =
-		!chg->retired && quo_vouches(fresh_config(chg->opts.fresh),
+	    .may_vote =
+		!chg->retired && quo_may_vote(fresh_config(chg->opts.fresh),
 				     chg->opts.self.incarnation),
 	    .as_of_ms = now_ms};
 
@@ -385,18 +385,18 @@
 
 /* See the header. */
 void
-chg_tick(struct chg *chg)
+chg_evaluate(struct chg *chg)
 {
 	struct cfg *held = fresh_config(chg->opts.fresh);
-	struct quo_answer self = chg_self(chg);
+	struct quo_answer self = chg_own_answer(chg);
 	struct cfg_voter missing[1];
-	struct quo_proof proof;
+	struct quo_confirmation proof;
 	size_t n;
 
-	quo_self(chg->opts.quo, &self);
+	quo_own_answer(chg->opts.quo, &self);
 	if (held == NULL)
 		return;
-	proof = quo_round(chg->opts.quo, held, self.as_of_ms);
+	proof = quo_confirm(chg->opts.quo, held, self.as_of_ms);
 	if (proof.confirmed)
 		fresh_confirm(chg->opts.fresh, proof.version, proof.as_of_ms);
 	if (!is_accepted(chg, cfg_version(held)) &&
@@ -407,7 +407,7 @@
 }
 
 void
-chg_retire(struct chg *chg)
+chg_stop_voting(struct chg *chg)
 {
 	chg->retired = true;
 }
@@ -415,7 +415,7 @@
 static gboolean
 on_tick(gpointer ctx)
 {
-	chg_tick(ctx);
+	chg_evaluate(ctx);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/src/version/change.h
+++ b/src/version/change.h
@@ -44,11 +44,11 @@
 /* expected_version is the one that the text was made from; 0: none. */
 void chg_apply(struct chg *chg, uint64_t expected_version,
     const char *change_id, const char *text, chg_done_fn fn, void *ctx);
-void chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
-    const char *change_id, chg_done_fn fn, void *ctx);
+void chg_set_out(struct chg *chg, enum cfg_kind kind, const char *name,
+    bool out, const char *change_id, chg_done_fn fn, void *ctx);
 /* Operators state that the process of a voter has ended for good. */
-void chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
-    chg_done_fn fn, void *ctx);
+void chg_mark_ended(struct chg *chg, uint64_t incarnation,
+    const char *change_id, chg_done_fn fn, void *ctx);
 /* No done callback with this ctx runs any more; the changes go on. */
 void chg_cancel(struct chg *chg, const void *ctx);
 
@@ -56,14 +56,14 @@
  * Judges the newest answers.  Call it after quo_answer(); runs by itself
  * every 100 ms.
  */
-void chg_tick(struct chg *chg);
-/* This entry's answer to a peer; vouches is false after chg_retire(). */
-struct quo_answer chg_self(const struct chg *chg);
+void chg_evaluate(struct chg *chg);
+/* This entry's answer to a peer; vouches is false after chg_stop_voting(). */
+struct quo_answer chg_own_answer(const struct chg *chg);
 /*
  * Call before the rpc listener closes: a new process that listens on the
  * same address takes this one for ended, so it must vote no more.
  */
-void chg_retire(struct chg *chg);
+void chg_stop_voting(struct chg *chg);
 
 enum chg_state {
 	CHG_UNSEEN,  /* this entry holds only lower versions */
--- a/src/version/fresh.c
+++ b/src/version/fresh.c
@@ -48,7 +48,7 @@
 
 /* Takes a configuration and tells the listeners, unless it is not newer. */
 void
-fresh_take(struct fresh *fresh, struct cfg *cfg)
+fresh_update(struct fresh *fresh, struct cfg *cfg)
 {
 	struct cfg *old = fresh->cfg;
 	guint i;
--- a/src/version/fresh.h
+++ b/src/version/fresh.h
@@ -20,7 +20,7 @@
 void fresh_on_changed(struct fresh *fresh, fresh_changed_fn fn, void *ctx);
 
 /* Takes cfg when it is newer than the one held; adds its own reference. */
-void fresh_take(struct fresh *fresh, struct cfg *cfg);
+void fresh_update(struct fresh *fresh, struct cfg *cfg);
 /*
  * Notes that no version above the given one was accepted as of as_of_ms.
  * Ignored while the version held is lower.
--- a/src/version/members.c
+++ b/src/version/members.c
@@ -362,7 +362,7 @@
 	return mem;
 }
 
-/* Leaves the registration to its lease; see mem_leave(). */
+/* Leaves the registration to its lease; see mem_deregister(). */
 void
 mem_free(struct mem *mem)
 {
@@ -407,7 +407,7 @@
 
 /* Revokes the lease, with which the store removes the registration. */
 void
-mem_leave(struct mem *mem, mem_changed_fn fn, void *ctx)
+mem_deregister(struct mem *mem, mem_changed_fn fn, void *ctx)
 {
 	mem->store->ops->cancel(mem->store, mem);
 	mem->leaving = true;
@@ -453,7 +453,7 @@
 
 /* See the header; false while the store gives no answers. */
 bool
-mem_is_gone(const struct mem *mem, uint64_t incarnation, int64_t now_ms)
+mem_is_deregistered(const struct mem *mem, uint64_t incarnation, int64_t now_ms)
 {
 	int64_t grace_ms = REJOIN_POLLS * MAX(mem->poll_ms, RETRY_MS);
 	int64_t since_ms = mem->unbroken_since;
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -80,7 +80,7 @@
 
 /* Takes this process's own state, which is always as of now. */
 void
-quo_self(struct quo *quo, const struct quo_answer *answer)
+quo_own_answer(struct quo *quo, const struct quo_answer *answer)
 {
 	quo_answer(quo, answer, answer->as_of_ms);
 }
@@ -105,7 +105,7 @@
  * over its failure domain by a change of its own.
  */
 bool
-quo_vouches(const struct cfg *held, uint64_t incarnation)
+quo_may_vote(const struct cfg *held, uint64_t incarnation)
 {
 	size_t i;
 
@@ -149,10 +149,10 @@
  * committed version when it read, so nothing above its version was accepted
  * as of that read.
  */
-static struct quo_proof
+static struct quo_confirmation
 store_proof(const struct quo *quo, int64_t now_ms)
 {
-	struct quo_proof proof = {0};
+	struct quo_confirmation proof = {0};
 	GHashTableIter iter;
 	gpointer value;
 
@@ -181,10 +181,10 @@
  * was accepted, and two majorities share a voter.  Hence the proof holds as of
  * the oldest of the answers.
  */
-static struct quo_proof
+static struct quo_confirmation
 voter_proof(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
-	struct quo_proof proof = {0};
+	struct quo_confirmation proof = {0};
 	const struct cfg_voter *voters;
 	size_t i, n, n_answers = 0;
 	int64_t *as_of_ms;
@@ -203,7 +203,7 @@
 		/* The store answers that voter: its read is the proof. */
 		if (has_contact(quo, known, now_ms))
 			break;
-		if (known->answer.vouches && known->held <= cfg_version(held))
+		if (known->answer.may_vote && known->held <= cfg_version(held))
 			as_of_ms[n_answers++] = known->answer.as_of_ms;
 	}
 	if (i == n && n_answers > n / 2) {
@@ -222,10 +222,10 @@
  * peer knows of a higher version nothing is proved: that document must be
  * taken first, and the answers judged by its own voter set.
  */
-struct quo_proof
-quo_round(const struct quo *quo, const struct cfg *held, int64_t now_ms)
+struct quo_confirmation
+quo_confirm(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
-	struct quo_proof none = {0}, store, voters;
+	struct quo_confirmation none = {0}, store, voters;
 	GHashTableIter iter;
 	gpointer value;
 
--- a/src/version/quorum.h
+++ b/src/version/quorum.h
@@ -19,29 +19,29 @@
 	uint64_t incarnation;
 	uint64_t version;     /* configuration that it holds */
 	int64_t store_age_ms; /* since its last store read, -1: never */
-	bool vouches;	      /* quo_vouches() at that entry */
+	bool may_vote;	      /* quo_may_vote() at that entry */
 	int64_t as_of_ms;     /* when the question was sent */
 };
 
 struct quo *quo_new(int64_t freshness_ms);
 void quo_free(struct quo *quo);
-/* A peer's document, when newer, must go to fresh_take() before this. */
+/* A peer's document, when newer, must go to fresh_update() before this. */
 void quo_answer(
     struct quo *quo, const struct quo_answer *answer, int64_t now_ms);
 /* The answer of this process itself; its as_of_ms is now. */
-void quo_self(struct quo *quo, const struct quo_answer *answer);
+void quo_own_answer(struct quo *quo, const struct quo_answer *answer);
 
 /* Whether an entry may answer as a voter: its own document lists it. */
-bool quo_vouches(const struct cfg *held, uint64_t incarnation);
+bool quo_may_vote(const struct cfg *held, uint64_t incarnation);
 
 /* What the latest answers prove; as_of_ms is at most freshness_ms ago. */
-struct quo_proof {
+struct quo_confirmation {
 	bool confirmed;
 	uint64_t version; /* arguments for fresh_confirm() */
 	int64_t as_of_ms;
 };
 
-struct quo_proof quo_round(
+struct quo_confirmation quo_confirm(
     const struct quo *quo, const struct cfg *held, int64_t now_ms);
 
 /*
--- a/src/version/reader.c
+++ b/src/version/reader.c
@@ -45,7 +45,7 @@
 	cfg_unref(rdr->cfg);
 	rdr->cfg = cfg;
 	rdr->mod_revision = value->mod_revision;
-	fresh_take(rdr->fresh, cfg);
+	fresh_update(rdr->fresh, cfg);
 	return true;
 }
 
--- a/src/version/routes.h
+++ b/src/version/routes.h
@@ -16,11 +16,11 @@
 	char *host;
 	char *prefix;
 	char *service;
-	uint32_t priority;     /* 0 first */
-	uint32_t max_attempts; /* failed runs of a task; at least 1 */
-	double stretch;	       /* objective over the job's chain */
-	int64_t target_ms;     /* and this much more */
-	bool advised;	       /* only an outside service knows its workers */
+	uint32_t priority;	 /* 0 first */
+	uint32_t max_attempts;	 /* failed runs of a task; at least 1 */
+	double stretch;		 /* objective over the job's chain */
+	int64_t target_ms;	 /* and this much more */
+	bool external_placement; /* only an outside service knows its workers */
 };
 
 struct rts_options {
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -87,18 +87,18 @@
 
 	setup();
 	ck_assert(see(mems[0], 2) && see(mems[1], 2));
-	mem_leave(mems[1], on_left, &left);
+	mem_deregister(mems[1], on_left, &left);
 	ck_assert(hn_wait_until(left > 0, 1000));
 	ck_assert_int_eq(left, 1);
 	ck_assert(see(mems[0], 1));
-	ck_assert(!mem_is_gone(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 2, clk_now_ms()));
 	mems[2] = join(3, "e3");
 	ck_assert(see(mems[0], 2));
 	mem_free(mems[2]);
 	ck_assert(see(mems[0], 1));
 	hn_sleep(2600);
-	ck_assert(mem_is_gone(mems[0], 2, clk_now_ms()));
-	ck_assert(!mem_is_gone(mems[0], 1, clk_now_ms()));
+	ck_assert(mem_is_deregistered(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 1, clk_now_ms()));
 	teardown();
 }
 END_TEST
@@ -112,7 +112,7 @@
 	changes = 0;
 	store_process_control("expire");
 	ck_assert(see(mems[0], 0));
-	ck_assert(!mem_is_gone(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 2, clk_now_ms()));
 	ck_assert(hn_wait_until(changes >= 2 && mem_is_registered(mems[0]) &&
 				    mem_is_registered(mems[1]) &&
 				    mem_find(mems[0], 1) != NULL &&
@@ -130,7 +130,7 @@
 	store_process_control("outage?mode=hang");
 	hn_sleep(2000);
 	ck_assert(see(mems[0], 2));
-	ck_assert(!mem_is_gone(mems[0], 77, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 77, clk_now_ms()));
 	store_process_control("outage?mode=off");
 	changes = 0;
 	hn_sleep(1500);
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -97,16 +97,16 @@
 	if (strcmp(words[3], "store=never") != 0)
 		answer.store_age_ms = strtoll(words[3] + 6, NULL, 10);
 	answer.as_of_ms = strtoll(words[4] + 3, NULL, 10);
-	answer.vouches =
-	    quo_vouches(rp->docs[answer.version], answer.incarnation);
+	answer.may_vote =
+	    quo_may_vote(rp->docs[answer.version], answer.incarnation);
 	quo_answer(rp->at->quo, &answer, answer.as_of_ms);
 }
 
 static void
 print_round(struct trace *rp, char **words)
 {
-	struct quo_proof proof =
-	    quo_round(rp->at->quo, rp->at->held, strtoll(words[1], NULL, 10));
+	struct quo_confirmation proof =
+	    quo_confirm(rp->at->quo, rp->at->held, strtoll(words[1], NULL, 10));
 
 	if (proof.confirmed)
 		g_string_append_printf(rp->out, "confirmed %d as of %d\n",
