--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -136,7 +136,7 @@
 }
 
 static void
-on_agent_up(struct al *al, const struct place_worker *worker, void *ctx)
+on_agent_connected(struct al *al, const struct place_worker *worker, void *ctx)
 {
 	struct entry *entry = ctx;
 
@@ -145,7 +145,7 @@
 }
 
 static void
-on_agent_down(struct al *al, void *ctx)
+on_agent_disconnected(struct al *al, void *ctx)
 {
 	struct entry *entry = ctx;
 
@@ -153,7 +153,7 @@
 }
 
 static void
-on_agent_gone(struct al *al, void *ctx)
+on_agent_removed(struct al *al, void *ctx)
 {
 	struct entry *entry = ctx;
 
@@ -198,7 +198,7 @@
 }
 
 static void
-fill_admission_facts(
+fill_admission_snapshot(
     const char *service, struct adm_snapshot *snapshot, void *ctx)
 {
 	struct entry *entry = ctx;
@@ -461,7 +461,7 @@
 	    .counters = entry->counters,
 	    .traces = entry->traces,
 	    .limits = {set->max_tasks, WIRE_PAYLOAD_MAX},
-	    .snapshot = fill_admission_facts,
+	    .snapshot = fill_admission_snapshot,
 	    .owner = owner_state,
 	    .forward = forward,
 	    .ctx = entry,
@@ -493,9 +493,9 @@
 	    .remove_after_ms = LOST_AGENT_REMOVE_MS,
 	    .next_seq = next_seq,
 	    .members = list_members,
-	    .up = on_agent_up,
-	    .down = on_agent_down,
-	    .gone = on_agent_gone,
+	    .up = on_agent_connected,
+	    .down = on_agent_disconnected,
+	    .gone = on_agent_removed,
 	    .load = on_agent_load,
 	    .outcome = on_outcome,
 	    .ctx = entry,
--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -122,7 +122,7 @@
 }
 
 static void
-fill_gate(struct ex *ex, struct rq_conditions *cond, int64_t now_ms)
+fill_conditions(struct ex *ex, struct rq_conditions *cond, int64_t now_ms)
 {
 	const struct ann_state *ann = ann_state(ex->opts.ann, now_ms);
 	struct cfg *cfg = fresh_config(ex->opts.fresh);
@@ -242,7 +242,7 @@
 	for (;;) {
 		/* Each start is checked against the current conditions. */
 		now_ms = clk_now_ms();
-		fill_gate(ex, &cond, now_ms);
+		fill_conditions(ex, &cond, now_ms);
 		task = rq_next(ex->rq, &cond, now_ms, &reason);
 		if (task == NULL)
 			break;
@@ -285,7 +285,7 @@
 	enum wire_reason reason;
 	struct rq_conditions cond;
 
-	fill_gate(ex, &cond, now_ms);
+	fill_conditions(ex, &cond, now_ms);
 	reason = rq_push(ex->rq, &task->rq, &cond, now_ms);
 	if (reason != WIRE_REASON_NONE)
 		return_not_started(task, reason);
@@ -362,7 +362,7 @@
 {
 	struct rq_conditions cond;
 
-	fill_gate(ex, &cond, clk_now_ms());
+	fill_conditions(ex, &cond, clk_now_ms());
 	rq_load(ex->rq, &cond, load);
 }
 
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -274,7 +274,7 @@
 
 /* Applies the newest list of failure domains that any entry has sent. */
 static void
-on_beat(uint64_t session, const struct run_heartbeat_args *args, void *ctx)
+on_heartbeat(uint64_t session, const struct run_heartbeat_args *args, void *ctx)
 {
 	struct ja *ja = ctx;
 	uint32_t i;
@@ -595,7 +595,7 @@
 	    .closed = on_closed,
 	    .start = on_start,
 	    .cancel = on_cancel,
-	    .on_heartbeat = on_beat,
+	    .on_heartbeat = on_heartbeat,
 	    .ctx = ja,
 	};
 
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -155,7 +155,7 @@
 }
 
 static enum je_result
-result_of(enum sch_job_end end)
+je_result_of(enum sch_job_end end)
 {
 	switch (end) {
 	case SCH_COMPLETED:
@@ -201,7 +201,7 @@
 	struct je *je = ctx;
 	struct waiter *waiter = data;
 	struct je_answer a = {
-	    .result = result_of(end),
+	    .result = je_result_of(end),
 	    .reason = reason,
 	    .retry_ms = RETRY_AFTER_MIN_MS,
 	};
@@ -218,7 +218,7 @@
 }
 
 static void
-fill_beat(struct run_heartbeat_args *args, void *ctx)
+fill_heartbeat(struct run_heartbeat_args *args, void *ctx)
 {
 	struct je *je = ctx;
 
@@ -272,7 +272,7 @@
 }
 
 static void
-on_setback(void *data, const struct sch_failed_start *s, void *ctx)
+on_start_failed(void *data, const struct sch_failed_start *s, void *ctx)
 {
 	static const char *const names[] = {[SCH_DONE] = "done",
 	    [SCH_FAILED] = "failed",
@@ -350,7 +350,7 @@
 	    .address = address,
 	    .name = je->opts.name,
 	    .incarnation = je->incarnation,
-	    .fill_heartbeat = fill_beat,
+	    .fill_heartbeat = fill_heartbeat,
 	    .worker = on_worker,
 	    .update = on_update,
 	    .closed = on_link_closed,
@@ -615,7 +615,7 @@
 	    .start = start_task,
 	    .flush = flush_agent,
 	    .cancel = cancel_task,
-	    .start_failed = on_setback,
+	    .start_failed = on_start_failed,
 	    .ended = on_job_ended,
 	    .ctx = je,
 	};
