--- a/src/process/enlist.c
+++ b/src/process/enlist.c
@@ -6,7 +6,7 @@
 #include "process/events.h"
 
 /* Delay before a failed store call is retried, plus up to half of it. */
-#define STORE_RETRY_MS 300
+#define ENL_RETRY_MS 300
 
 struct enl {
 	struct enl_options opts;
@@ -37,8 +37,8 @@
 	    "enlist", "\"state\":\"failed\",\"reason\":\"%s\"", st->message);
 	if (enl->retry_id == 0)
 		enl->retry_id =
-		    g_timeout_add(STORE_RETRY_MS + (guint)g_random_int_range(
-						       0, STORE_RETRY_MS / 2),
+		    g_timeout_add(ENL_RETRY_MS + (guint)g_random_int_range(
+						     0, ENL_RETRY_MS / 2),
 			on_retry, enl);
 }
 
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -22,7 +22,7 @@
 #define LOST_AGENT_OUTCOME_MS  5000  /* its open starts become unknown */
 #define LOST_AGENT_REMOVE_MS   60000 /* its record is removed */
 #define UNDELIVERED_WAIT_MS    2000  /* for callers to fetch results */
-#define MAX_AGENTS	       4096
+#define MAX_KNOWN_AGENTS       4096
 #define MAX_OUTSTANDING_STARTS 200000U
 #define MAX_WAITERS_PER_JOB    64
 #define MAX_HTTP_REQUESTS      20000
@@ -487,7 +487,7 @@
 	    .self = &entry->self,
 	    .fresh = entry->fresh,
 	    .counters = entry->counters,
-	    .max_agents = MAX_AGENTS,
+	    .max_agents = MAX_KNOWN_AGENTS,
 	    .silence_ms = set->silence_ms,
 	    .outcome_timeout_ms = LOST_AGENT_OUTCOME_MS,
 	    .remove_after_ms = LOST_AGENT_REMOVE_MS,
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -484,7 +484,7 @@
 	ja->done = ctr_counter(reg, "sp_runs_done_total", "Runs done.");
 	ja->failed = ctr_counter(reg, "sp_runs_failed_total", "Runs failed.");
 	ja->runs_lost = ctr_counter(
-	    reg, "sp_runs_lost_total", "Runs ended without an outcome.");
+	    reg, "sp_runs_lost_total", "Runs lost, with an unknown outcome.");
 	ja->sessions_lost = ctr_counter(
 	    reg, "sp_sessions_lost_total", "Entry connections lost.");
 	ja->run_times =
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -20,11 +20,11 @@
  * operators are promised.
  */
 #define STORE_WATCH_MS 1500
-#define MAX_OPEN_JOBS  20000
+#define JE_MAX_JOBS    20000
 /*
- * Runs started over a lost connection have ended after the time in which the
- * agent detects a silent entry, as in jobagent.c, plus a margin for the stop
- * call at the worker and one message in each direction.
+ * Runs started over a lost connection end with the worker's lease, or when the
+ * agent detects that the entry is silent, as in jobagent.c.  The margin is for
+ * the stop call at the worker and one message in each direction.
  */
 #define ENTRY_SILENCE_MS   800
 #define STOP_MARGIN_MS	   300
@@ -584,7 +584,7 @@
 	je->tasks_failed =
 	    ctr_counter(reg, "sp_tasks_failed_total", "Tasks failed.");
 	je->tasks_lost = ctr_counter(
-	    reg, "sp_tasks_lost_total", "Tasks ended without an outcome.");
+	    reg, "sp_tasks_lost_total", "Tasks whose run was lost or stalled.");
 }
 
 static struct mir *
@@ -611,7 +611,7 @@
 	    .cross_rack_factor = opts->cross_rack_factor,
 	    .lost_run_timeout_ms =
 		MAX(opts->lease_ms, ENTRY_SILENCE_MS) + STOP_MARGIN_MS,
-	    .max_jobs = MAX_OPEN_JOBS,
+	    .max_jobs = JE_MAX_JOBS,
 	    .start = start_task,
 	    .flush = flush_agent,
 	    .cancel = cancel_task,
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -85,7 +85,7 @@
 /* Answers JE_RUNNING while the job is open here, else JE_UNKNOWN_JOB. */
 void je_query_state(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
-/* Cancels an open job: answers JE_RUNNING, else JE_UNKNOWN_JOB. */
+/* Cancels a job: answers JE_RUNNING if it was open, else JE_UNKNOWN_JOB. */
 void je_cancel(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
 /* Answers the number of jobs of the queue that have no started task. */
--- a/src/process/trace.c
+++ b/src/process/trace.c
@@ -5,10 +5,10 @@
 
 #include "trace.h"
 
-#define TRACE_ID_POS 3 /* in "00-<trace id>-<span id>-<flags>" */
-#define SPAN_ID_POS  36
-#define FLAGS_POS    53
-#define DETAIL_MAX   256
+#define TRACE_ID_POS	 3 /* in "00-<trace id>-<span id>-<flags>" */
+#define SPAN_ID_POS	 36
+#define FLAGS_POS	 53
+#define DETAIL_MAX_BYTES 256
 
 struct span {
 	struct trc_context ctx;
@@ -147,7 +147,8 @@
 	span_clear(span);
 	span->ctx = *ctx;
 	span->name = g_strdup(name);
-	span->detail = detail != NULL ? g_strndup(detail, DETAIL_MAX) : NULL;
+	span->detail =
+	    detail != NULL ? g_strndup(detail, DETAIL_MAX_BYTES) : NULL;
 	span->start_wall_us = start_wall_us;
 	span->duration_us = duration_us;
 	span->ok = ok;
