--- a/include/sequoiaplank.h
+++ b/include/sequoiaplank.h
@@ -9,7 +9,7 @@
 
 /*
  * Public interface of libsequoiaplank, for programs that embed an entry or an
- * agent, or that check configuration before it is applied.  Each process runs
+ * agent, or that check a configuration before it is applied.  A process can run
  * at most one entry or agent, in the thread that calls sp_*_run().
  */
 
@@ -17,9 +17,9 @@
 
 enum sp_result {
 	SP_OK = 0,
-	SP_INVALID = 1, /* settings or text are wrong: key and place given */
+	SP_INVALID = 1, /* invalid settings or text; message gives key, place */
 	SP_UNAVAILABLE = 2, /* an address can't be listened on */
-	SP_INTERRUPTED = 3  /* requests still ran when drain_timeout_ms ended */
+	SP_INTERRUPTED = 3  /* requests still ran after drain_timeout_ms */
 };
 
 /* Owned by the caller; message is empty after SP_OK. */
@@ -31,8 +31,8 @@
 const char *sp_version(void);
 
 /*
- * Checks an operators' text of len bytes.  name stands for it in the message
- * ("name:line:column: ...").  Errors: SP_INVALID.
+ * Checks an operators' text of len bytes.  The error message refers to it by
+ * name ("name:line:column: ...").  Errors: SP_INVALID.
  */
 enum sp_result sp_text_check(
     const char *name, const char *text, size_t len, struct sp_error *error);
--- a/src/daemons/spctl.c
+++ b/src/daemons/spctl.c
@@ -8,8 +8,8 @@
 
 #include "version/config.h"
 
-#define REQUEST_TIMEOUT_S 8 /* an entry resolves a change within 4 s */
-#define POLL_US		  200000UL
+#define REQUEST_TIMEOUT_S 8 /* an entry retries a change for up to 4 s */
+#define POLL_INTERVAL_US  200000UL
 #define MAX_WAIT_S	  3600
 
 enum exit_code {
@@ -58,7 +58,6 @@
 	"Repeats an earlier change whose outcome is unknown", 0},
     {0}};
 
-/* Prints an answer as it came when --json was given. */
 static void
 print_json(struct json_object *reply)
 {
@@ -66,7 +65,7 @@
 }
 
 static const char *
-string_at(struct json_object *object, const char *key)
+get_string(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -76,7 +75,7 @@
 }
 
 static int64_t
-int_at(struct json_object *object, const char *key)
+get_int(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -85,11 +84,12 @@
 }
 
 /*
- * Sends one request to one entry; NULL without an answer.  *code is then 0
- * when nothing was sent, and 504 when the request may have arrived.
+ * Sends a request to one entry and returns the body of the answer.  Returns
+ * NULL if there is none; *code is then 0 if the connection was refused, and 504
+ * if the request may have arrived.
  */
 static char *
-send_to(const char *entry, const char *method, const char *path,
+send_to_entry(const char *entry, const char *method, const char *path,
     const char *body, unsigned *code)
 {
 	char *uri = g_strconcat(entry, path, NULL), *text = NULL;
@@ -123,12 +123,14 @@
 }
 
 /*
- * Asks the entries in turn until one answers.  An entry without the store, or
- * without the outcome, does not settle a change; another one may.  A change
- * is safe to repeat, since its change id makes it happen once.
+ * Sends a request to the entries in turn until one gives a final answer.  The
+ * statuses 503 (store unavailable) and 504 (outcome of a change unknown) are
+ * not final: another entry may be able to make the change.  Repeating a change
+ * is safe, since a change id takes effect only once.
  */
 static char *
-request(const char *method, const char *path, const char *body, unsigned *code)
+send_to_any(
+    const char *method, const char *path, const char *body, unsigned *code)
 {
 	char *text = NULL, *last = NULL;
 	unsigned last_code = 0;
@@ -139,12 +141,12 @@
 		exit(EXIT_USAGE);
 	}
 	for (i = 0; i < entries->len; i++) {
-		text = send_to(
+		text = send_to_entry(
 		    g_ptr_array_index(entries, i), method, path, body, code);
 		if (text != NULL && *code != 503 && *code != 504)
 			break;
 		if (text != NULL) {
-			/* An unknown outcome outweighs a later refusal. */
+			/* A later 503 must not hide an unknown outcome. */
 			if (last_code != 504) {
 				g_free(last);
 				last = text;
@@ -168,7 +170,7 @@
 }
 
 static enum exit_code
-unreachable(unsigned code)
+report_no_answer(unsigned code)
 {
 	if (code != 504) {
 		fprintf(stderr, "spctl: no entry answers\n");
@@ -181,7 +183,7 @@
 	return EXIT_PENDING;
 }
 
-/* Prints a refusal and returns its exit code. */
+/* Prints an error answer and returns its exit code. */
 static enum exit_code
 print_refusal(unsigned code, const char *text)
 {
@@ -190,8 +192,8 @@
 	if (as_json && reply != NULL)
 		print_json(reply);
 	else if (json_object_is_type(reply, json_type_object))
-		fprintf(stderr, "spctl: %s: %s\n", string_at(reply, "error"),
-		    string_at(reply, "message"));
+		fprintf(stderr, "spctl: %s: %s\n", get_string(reply, "error"),
+		    get_string(reply, "message"));
 	else
 		fprintf(stderr, "spctl: HTTP status %u\n", code);
 	if (code == 504)
@@ -203,17 +205,20 @@
 	return code == 504 ? EXIT_PENDING : EXIT_REFUSED;
 }
 
-/* Gets a JSON object; on failure it prints why and sets *result. */
+/*
+ * Gets a JSON object.  On failure prints an error, sets *result to the exit
+ * code and returns NULL.
+ */
 static struct json_object *
 get_object(const char *path, enum exit_code *result)
 {
 	struct json_object *reply;
 	unsigned code = 0;
-	char *text = request("GET", path, NULL, &code);
+	char *text = send_to_any("GET", path, NULL, &code);
 
 	*result = EXIT_IN_FORCE;
 	if (text == NULL) {
-		*result = unreachable(code);
+		*result = report_no_answer(code);
 		return NULL;
 	}
 	reply = code == 200 ? json_tokener_parse(text) : NULL;
@@ -226,12 +231,12 @@
 	return reply;
 }
 
-/* Prints how far a version is in force, in one line. */
+/* Prints in one line whether a version is in force and which voters lack it. */
 static enum exit_code
 print_progress(struct json_object *reply)
 {
 	struct json_object *missing = NULL, *voter;
-	const char *state = string_at(reply, "state");
+	const char *state = get_string(reply, "state");
 	bool in_force = strcmp(state, "in_force") == 0;
 	size_t i;
 
@@ -239,18 +244,18 @@
 		print_json(reply);
 		return in_force ? EXIT_IN_FORCE : EXIT_PENDING;
 	}
-	if (int_at(reply, "version") == 0) {
+	if (get_int(reply, "version") == 0) {
 		puts("no configuration was applied yet");
 		return EXIT_PENDING;
 	}
-	printf("version %s ", string_at(reply, "version"));
+	printf("version %s ", get_string(reply, "version"));
 	if (in_force) {
 		puts("is in force everywhere");
 		return EXIT_IN_FORCE;
 	}
 	if (strcmp(state, "accepted") == 0)
 		printf("is accepted, in force everywhere in %s ms",
-		    string_at(reply, "remaining_ms"));
+		    get_string(reply, "remaining_ms"));
 	else
 		printf("is pending");
 	json_object_object_get_ex(reply, "missing", &missing);
@@ -258,11 +263,11 @@
 	     i++) {
 		voter = json_object_array_get_idx(missing, i);
 		printf("%s%s (%s%s%s%s)", i == 0 ? ", not yet held by " : ", ",
-		    string_at(voter, "failure_domain"),
-		    string_at(voter, "incarnation"),
-		    string_at(voter, "name")[0] != '\0' ? ", " : "",
-		    string_at(voter, "name"),
-		    strcmp(string_at(voter, "registered"), "true") == 0
+		    get_string(voter, "failure_domain"),
+		    get_string(voter, "incarnation"),
+		    get_string(voter, "name")[0] != '\0' ? ", " : "",
+		    get_string(voter, "name"),
+		    strcmp(get_string(voter, "registered"), "true") == 0
 			? ""
 			: ", not registered");
 	}
@@ -270,7 +275,7 @@
 	return EXIT_PENDING;
 }
 
-/* Polls until a version is in force or the time is over. */
+/* Polls until a version is in force or wait_s has passed. */
 static enum exit_code
 wait_in_force(struct json_object *reply)
 {
@@ -279,12 +284,12 @@
 	char path[64];
 
 	snprintf(path, sizeof(path), "/v1/config/status?version=%s",
-	    string_at(reply, "version"));
-	while (strcmp(string_at(reply, "state"), "in_force") != 0 &&
+	    get_string(reply, "version"));
+	while (strcmp(get_string(reply, "state"), "in_force") != 0 &&
 	       g_get_monotonic_time() < end) {
 		struct json_object *next;
 
-		g_usleep(POLL_US);
+		g_usleep(POLL_INTERVAL_US);
 		next = get_object(path, &result);
 		if (next == NULL)
 			continue;
@@ -296,7 +301,7 @@
 	return result;
 }
 
-/* Sends a change, whose body it takes over, and waits for it. */
+/* Sends a change, waits until it is in force, and frees body. */
 static enum exit_code
 send_change(const char *method, const char *path, struct json_object *body)
 {
@@ -309,10 +314,11 @@
 		change_id = g_uuid_string_random();
 	json_object_object_add(
 	    body, "change_id", json_object_new_string(change_id));
-	text = request(method, path, json_object_to_json_string(body), &code);
+	text =
+	    send_to_any(method, path, json_object_to_json_string(body), &code);
 	json_object_put(body);
 	if (text == NULL)
-		return unreachable(code);
+		return report_no_answer(code);
 	reply = code == 200 ? json_tokener_parse(text) : NULL;
 	if (json_object_is_type(reply, json_type_object)) {
 		result = wait_in_force(reply);
@@ -324,7 +330,10 @@
 	return result;
 }
 
-/* Reads and checks a text; NULL after a message. */
+/*
+ * Reads and checks an operators' text.  On failure prints an error and returns
+ * NULL.
+ */
 static char *
 read_text(const char *path, enum exit_code *result)
 {
@@ -376,7 +385,7 @@
 			g_free(text);
 			return result;
 		}
-		expected_version = int_at(current, "version");
+		expected_version = get_int(current, "version");
 		json_object_put(current);
 	}
 	body = json_object_new_object();
@@ -438,8 +447,8 @@
 	json_object_object_get_ex(config, "out", &outs);
 	for (i = 0; outs != NULL && i < json_object_array_length(outs); i++) {
 		out = json_object_array_get_idx(outs, i);
-		printf("out of service: %s %s\n", string_at(out, "kind"),
-		    string_at(out, "name"));
+		printf("out of service: %s %s\n", get_string(out, "kind"),
+		    get_string(out, "name"));
 	}
 }
 
@@ -462,20 +471,20 @@
 	json_object_object_get_ex(reply, "config", &config);
 	printf("entry %s in %s, configuration %s, confirmed %s ms ago, "
 	       "store read %s ms ago\n",
-	    string_at(reply, "entry"), string_at(reply, "failure_domain"),
-	    strcmp(string_at(config, "current"), "true") == 0 ? "current"
-							      : "stale",
-	    string_at(config, "age_ms"), string_at(config, "store_age_ms"));
+	    get_string(reply, "entry"), get_string(reply, "failure_domain"),
+	    strcmp(get_string(config, "current"), "true") == 0 ? "current"
+							       : "stale",
+	    get_string(config, "age_ms"), get_string(config, "store_age_ms"));
 	print_progress(config);
 	print_outs(config);
 	json_object_object_get_ex(reply, "entries", &list);
 	for (i = 0; list != NULL && i < json_object_array_length(list); i++) {
 		entry = json_object_array_get_idx(list, i);
 		printf("registered entry %s in %s, incarnation %s, %s\n",
-		    string_at(entry, "name"),
-		    string_at(entry, "failure_domain"),
-		    string_at(entry, "incarnation"),
-		    string_at(entry, "operator_address"));
+		    get_string(entry, "name"),
+		    get_string(entry, "failure_domain"),
+		    get_string(entry, "incarnation"),
+		    get_string(entry, "operator_address"));
 	}
 	json_object_put(reply);
 	return EXIT_IN_FORCE;
@@ -494,24 +503,27 @@
 	if (as_json) {
 		print_json(reply);
 	} else {
-		/* Only the text goes to standard output, ready to edit. */
-		fprintf(stderr, "version %s\n", string_at(reply, "version"));
-		fputs(string_at(reply, "text"), stdout);
+		/*
+		 * Standard output gets only the text, so that it can be edited
+		 * and applied.
+		 */
+		fprintf(stderr, "version %s\n", get_string(reply, "version"));
+		fputs(get_string(reply, "text"), stdout);
 	}
 	json_object_put(reply);
 	return EXIT_IN_FORCE;
 }
 
-/* Prints a text answer as it came. */
+/* Prints the body of an answer unchanged. */
 static enum exit_code
 print_get(const char *path)
 {
 	unsigned code = 0;
 	enum exit_code result = EXIT_IN_FORCE;
-	char *text = request("GET", path, NULL, &code);
+	char *text = send_to_any("GET", path, NULL, &code);
 
 	if (text == NULL)
-		return unreachable(code);
+		return report_no_answer(code);
 	if (code != 200)
 		result = print_refusal(code, text);
 	else
@@ -534,7 +546,7 @@
 	return result;
 }
 
-/* Turns "name value" lines into one JSON object. */
+/* Prints "name value" lines as one JSON object. */
 static void
 print_counters(const char *text)
 {
@@ -565,9 +577,9 @@
 	(void)args;
 	if (!as_json)
 		return print_get("/metrics");
-	text = request("GET", "/metrics", NULL, &code);
+	text = send_to_any("GET", "/metrics", NULL, &code);
 	if (text == NULL)
-		return unreachable(code);
+		return report_no_answer(code);
 	print_counters(text);
 	g_free(text);
 	return EXIT_IN_FORCE;
@@ -635,7 +647,7 @@
 	}
 }
 
-/* Arguments of the command itself. */
+/* The command given, and its arguments. */
 static char *command_args[3];
 static const struct command *command;
 
--- a/src/version/change.c
+++ b/src/version/change.c
@@ -7,20 +7,20 @@
 #include "process/clock.h"
 #include "process/log.h"
 
-#define TICK_MS	       100
-#define VOTER_CHECK_MS 500
-#define DEADLINE_MS    4000
-#define RETRY_MAX_MS   50
-#define MAX_QUEUED     256
-#define MAX_ACCEPTED   64
+#define EVALUATION_PERIOD_MS  100
+#define VOTER_CHECK_PERIOD_MS 500
+#define CHANGE_DEADLINE_MS    4000
+#define RETRY_DELAY_MAX_MS    50
+#define MAX_QUEUED_CHANGES    256
+#define MAX_ACCEPTED_VERSIONS 64
 
 struct op {
 	struct drf_change change; /* strings are owned by the op */
-	chg_done_fn fn;		  /* NULL: nobody waits */
+	chg_done_fn fn;		  /* NULL: no caller to notify */
 	void *ctx;
 	int64_t started_ms;
-	bool unknown;	/* a write had no reply and was not resolved yet */
-	char *document; /* of the write in progress */
+	bool outcome_unknown; /* a write got no reply; outcome unresolved */
+	char *document;	      /* of the write in progress */
 };
 
 struct accepted {
@@ -33,15 +33,15 @@
 	GQueue queue;
 	struct op *current;
 	guint retry_timer;
-	guint tick_timer;
-	int64_t voter_check_ms;
+	guint evaluation_timer;
+	int64_t next_voter_check_ms;
 	bool voter_queued;
 	uint32_t voter_changes;
-	bool retired;
-	GArray *accepted; /* struct accepted, both members rising */
+	bool voting_stopped;
+	GArray *accepted; /* struct accepted, by rising version and time */
 };
 
-static void op_read(struct chg *chg);
+static void start_read(struct chg *chg);
 
 static void
 op_free(struct op *op)
@@ -59,22 +59,22 @@
 	struct chg *chg = ctx;
 
 	chg->retry_timer = 0;
-	op_read(chg);
+	start_read(chg);
 	return G_SOURCE_REMOVE;
 }
 
 static void
-next_op(struct chg *chg)
+start_next_op(struct chg *chg)
 {
 	chg->current = g_queue_pop_head(&chg->queue);
 	if (chg->current == NULL)
 		return;
 	chg->current->started_ms = clk_now_ms();
-	op_read(chg);
+	start_read(chg);
 }
 
 static void
-finish(struct chg *chg, const struct status *st, uint64_t version)
+finish_op(struct chg *chg, const struct status *st, uint64_t version)
 {
 	struct op *op = chg->current;
 
@@ -89,30 +89,35 @@
 		op->fn(st, version, op->ctx);
 	op_free(op);
 	if (chg->current == NULL)
-		next_op(chg);
+		start_next_op(chg);
 }
 
 static void
-refuse(struct chg *chg, enum st_code code, const char *message)
+fail_op(struct chg *chg, enum st_code code, const char *message)
 {
 	struct status st;
 
 	st_set(&st, code, "%s", message);
-	finish(chg, &st, 0);
+	finish_op(chg, &st, 0);
 }
 
-/* Reads again after a random pause, so that racing entries spread out. */
+/*
+ * Retries the change after a random delay, so that entries that changed the
+ * document at the same time don't collide again.  Fails it after
+ * CHANGE_DEADLINE_MS.
+ */
 static void
-try_again(struct chg *chg, const char *why)
+retry_later(struct chg *chg, const char *why)
 {
 	struct op *op = chg->current;
 
-	if (clk_now_ms() - op->started_ms < DEADLINE_MS) {
+	if (clk_now_ms() - op->started_ms < CHANGE_DEADLINE_MS) {
 		chg->retry_timer = g_timeout_add(
-		    (guint)g_random_int_range(1, RETRY_MAX_MS), on_retry, chg);
+		    (guint)g_random_int_range(1, RETRY_DELAY_MAX_MS), on_retry,
+		    chg);
 		return;
 	}
-	refuse(chg, op->unknown ? ST_UNKNOWN : ST_UNAVAILABLE, why);
+	fail_op(chg, op->outcome_unknown ? ST_UNKNOWN : ST_UNAVAILABLE, why);
 }
 
 static bool
@@ -125,7 +130,7 @@
 }
 
 static bool
-is_gone(uint64_t incarnation, void *ctx)
+is_deregistered(uint64_t incarnation, void *ctx)
 {
 	struct chg *chg = ctx;
 
@@ -133,14 +138,14 @@
 }
 
 static void
-voter_input(struct chg *chg, const struct cfg *base, struct vot_input *in)
+fill_vot_input(struct chg *chg, const struct cfg *base, struct vot_input *in)
 {
 	memset(in, 0, sizeof(*in));
 	in->base = base;
 	in->base_accepted = base != NULL && is_accepted(chg, cfg_version(base));
 	in->members = mem_list(chg->opts.mem, &in->n_members);
 	in->self = &chg->opts.self;
-	in->is_gone = is_gone;
+	in->is_deregistered = is_deregistered;
 	in->ctx = chg;
 }
 
@@ -155,20 +160,20 @@
 
 	(void)mod_revision;
 	if (st->code == ST_UNKNOWN)
-		op->unknown = true;
+		op->outcome_unknown = true;
 	if (st->code != ST_OK) {
-		try_again(chg, st->message);
+		retry_later(chg, st->message);
 		return;
 	}
 	cfg = cfg_parse(op->document, strlen(op->document), &parse);
 	if (cfg == NULL) {
-		refuse(chg, ST_INTERNAL, parse.message);
+		fail_op(chg, ST_INTERNAL, parse.message);
 		return;
 	}
 	version = cfg_version(cfg);
 	fresh_take(chg->opts.fresh, cfg);
 	cfg_unref(cfg);
-	finish(chg, &ok, version);
+	finish_op(chg, &ok, version);
 }
 
 static void
@@ -179,32 +184,33 @@
 	struct vot_input in;
 	bool noop = false;
 
-	voter_input(chg, base, &in);
+	fill_vot_input(chg, base, &in);
 	if (drf_check(&op->change, &in, &noop, &st) != ST_OK) {
-		finish(chg, &st, 0);
+		finish_op(chg, &st, 0);
 		return;
 	}
 	if (noop) {
-		finish(chg, &st, base == NULL ? 0 : cfg_version(base));
+		finish_op(chg, &st, base == NULL ? 0 : cfg_version(base));
 		return;
 	}
 	g_free(op->document);
 	op->document = drf_write(&op->change, &in, &st);
 	if (op->document == NULL) {
-		finish(chg, &st, 0);
+		finish_op(chg, &st, 0);
 		return;
 	}
-	chg->opts.store->ops->swap(chg->opts.store, STORE_CONFIG_KEY,
+	chg->opts.store->ops->compare_and_swap(chg->opts.store,
+	    STORE_CONFIG_KEY,
 	    base == NULL ? 0 : rdr_mod_revision(chg->opts.rdr), op->document,
 	    strlen(op->document), on_written, chg);
 }
 
 /*
- * Goes on after a read that was sent after the change was asked for, or after
- * its last write.  A change that is listed was made.  A write without a reply
- * that is not listed either lost its race, or is still on its way; then the
- * next write competes with it for the same mod revision and only one of the
- * two takes effect.
+ * Continues the current change after a read that was sent after the change was
+ * submitted and after its last write.  If the document lists the change, it has
+ * taken effect.  If it doesn't, a write without a reply has either failed its
+ * compare-and-swap or is still on its way to the store; the next write compares
+ * with the same mod revision, so only one of the two can succeed.
  */
 static void
 on_read(const struct status *st, void *ctx)
@@ -216,22 +222,25 @@
 	uint64_t version;
 
 	if (st->code != ST_OK) {
-		if (op->unknown)
-			try_again(chg, st->message);
+		if (op->outcome_unknown)
+			retry_later(chg, st->message);
 		else
-			refuse(chg, ST_UNAVAILABLE, st->message);
+			fail_op(chg, ST_UNAVAILABLE, st->message);
 		return;
 	}
 	version =
 	    base == NULL ? 0 : cfg_change_version(base, op->change.change_id);
 	if (version != 0) {
-		finish(chg, &ok, version);
+		finish_op(chg, &ok, version);
 		return;
 	}
-	/* A peer was faster, or the store lost what it had confirmed. */
+	/*
+	 * A peer sent a newer document meanwhile, or the store lost a write
+	 * that it had confirmed.
+	 */
 	if ((base == NULL ? 0 : cfg_version(base)) <
 	    fresh_version(chg->opts.fresh)) {
-		try_again(
+		retry_later(
 		    chg, "the store holds an older version than this entry");
 		return;
 	}
@@ -239,7 +248,7 @@
 }
 
 static void
-op_read(struct chg *chg)
+start_read(struct chg *chg)
 {
 	rdr_read(chg->opts.rdr, on_read, chg);
 }
@@ -249,15 +258,17 @@
 {
 	struct status st;
 
-	if (op->fn != NULL && g_queue_get_length(&chg->queue) >= MAX_QUEUED) {
-		st_set(&st, ST_LIMIT, "%d changes wait already", MAX_QUEUED);
+	if (op->fn != NULL &&
+	    g_queue_get_length(&chg->queue) >= MAX_QUEUED_CHANGES) {
+		st_set(&st, ST_LIMIT, "%d changes wait already",
+		    MAX_QUEUED_CHANGES);
 		op->fn(&st, 0, op->ctx);
 		op_free(op);
 		return;
 	}
 	g_queue_push_tail(&chg->queue, op);
 	if (chg->current == NULL)
-		next_op(chg);
+		start_next_op(chg);
 }
 
 static struct op *
@@ -272,7 +283,7 @@
 	return op;
 }
 
-/* Replaces the operators' text, which is checked first. */
+/* Replaces the operators' text; an invalid text fails at once. */
 void
 chg_apply(struct chg *chg, uint64_t expected_version, const char *change_id,
     const char *text, chg_done_fn fn, void *ctx)
@@ -290,7 +301,7 @@
 	submit(chg, op);
 }
 
-/* Takes something out of service or back in. */
+/* Takes a failure domain, worker or service out of service or back in. */
 void
 chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
     const char *change_id, chg_done_fn fn, void *ctx)
@@ -303,7 +314,6 @@
 	submit(chg, op);
 }
 
-/* See the header. */
 void
 chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
     chg_done_fn fn, void *ctx)
@@ -315,7 +325,7 @@
 }
 
 static void
-forget_callback(gpointer data, gpointer ctx)
+clear_callback(gpointer data, gpointer ctx)
 {
 	struct op *op = data;
 
@@ -326,13 +336,16 @@
 void
 chg_cancel(struct chg *chg, const void *ctx)
 {
-	forget_callback(chg->current, (gpointer)ctx);
-	g_queue_foreach(&chg->queue, forget_callback, (gpointer)ctx);
+	clear_callback(chg->current, (gpointer)ctx);
+	g_queue_foreach(&chg->queue, clear_callback, (gpointer)ctx);
 }
 
-/* Queues a change when this entry should become a voter, see vot_next(). */
+/*
+ * Queues a change of the voter sets if vot_next() adds this entry to them or
+ * marks voters as ended.
+ */
 static void
-check_voter(struct chg *chg, const struct cfg *held, int64_t now_ms)
+propose_voter_change(struct chg *chg, const struct cfg *held, int64_t now_ms)
 {
 	const struct drf_change change = {.kind = DRF_VOTER};
 	int64_t age_ms = rdr_store_age_ms(chg->opts.rdr, now_ms);
@@ -340,13 +353,14 @@
 	bool noop = true;
 	char id[64];
 
-	if (chg->retired || chg->voter_queued || now_ms < chg->voter_check_ms)
+	if (chg->voting_stopped || chg->voter_queued ||
+	    now_ms < chg->next_voter_check_ms)
 		return;
-	chg->voter_check_ms = now_ms + VOTER_CHECK_MS;
+	chg->next_voter_check_ms = now_ms + VOTER_CHECK_PERIOD_MS;
 	if (age_ms < 0 || age_ms > chg->opts.freshness_ms ||
 	    !mem_is_registered(chg->opts.mem))
 		return;
-	voter_input(chg, held, &in);
+	fill_vot_input(chg, held, &in);
 	if (drf_check(&change, &in, &noop, NULL) != ST_OK || noop)
 		return;
 	chg->voter_queued = true;
@@ -356,18 +370,18 @@
 }
 
 static void
-note_accepted(struct chg *chg, uint64_t version, int64_t now_ms)
+record_accepted(struct chg *chg, uint64_t version, int64_t now_ms)
 {
 	struct accepted accepted = {version, now_ms};
 
 	if (is_accepted(chg, version))
 		return;
-	if (chg->accepted->len == MAX_ACCEPTED)
+	if (chg->accepted->len == MAX_ACCEPTED_VERSIONS)
 		g_array_remove_index(chg->accepted, 0);
 	g_array_append_val(chg->accepted, accepted);
 }
 
-/* Returns what this entry tells a peer about itself, as of now. */
+/* Returns this entry's current status, as sent to peers. */
 struct quo_answer
 chg_self(const struct chg *chg)
 {
@@ -375,15 +389,14 @@
 	struct quo_answer answer = {.incarnation = chg->opts.self.incarnation,
 	    .version = fresh_version(chg->opts.fresh),
 	    .store_age_ms = rdr_store_age_ms(chg->opts.rdr, now_ms),
-	    .vouches =
-		!chg->retired && quo_vouches(fresh_config(chg->opts.fresh),
-				     chg->opts.self.incarnation),
+	    .vouches = !chg->voting_stopped &&
+		       quo_vouches(fresh_config(chg->opts.fresh),
+			   chg->opts.self.incarnation),
 	    .as_of_ms = now_ms};
 
 	return answer;
 }
 
-/* See the header. */
 void
 chg_tick(struct chg *chg)
 {
@@ -402,18 +415,18 @@
 	if (!is_accepted(chg, cfg_version(held)) &&
 	    quo_accepted(
 		chg->opts.quo, held, cfg_version(held), missing, 1, &n))
-		note_accepted(chg, cfg_version(held), self.as_of_ms);
-	check_voter(chg, held, self.as_of_ms);
+		record_accepted(chg, cfg_version(held), self.as_of_ms);
+	propose_voter_change(chg, held, self.as_of_ms);
 }
 
 void
 chg_retire(struct chg *chg)
 {
-	chg->retired = true;
+	chg->voting_stopped = true;
 }
 
 static gboolean
-on_tick(gpointer ctx)
+on_evaluation_timer(gpointer ctx)
 {
 	chg_tick(ctx);
 	return G_SOURCE_CONTINUE;
@@ -427,7 +440,8 @@
 	chg->opts = *opts;
 	g_queue_init(&chg->queue);
 	chg->accepted = g_array_new(FALSE, FALSE, sizeof(struct accepted));
-	chg->tick_timer = g_timeout_add(TICK_MS, on_tick, chg);
+	chg->evaluation_timer =
+	    g_timeout_add(EVALUATION_PERIOD_MS, on_evaluation_timer, chg);
 	return chg;
 }
 
@@ -442,7 +456,7 @@
 	rdr_cancel(chg->opts.rdr, chg);
 	if (chg->retry_timer != 0)
 		g_source_remove(chg->retry_timer);
-	g_source_remove(chg->tick_timer);
+	g_source_remove(chg->evaluation_timer);
 	if (chg->current != NULL)
 		op_free(chg->current);
 	while ((op = g_queue_pop_head(&chg->queue)) != NULL)
@@ -451,7 +465,7 @@
 	g_free(chg);
 }
 
-/* When the version or a later one was first known to be accepted. */
+/* Looks up when the version or a later one was first known to be accepted. */
 static bool
 accepted_at(const struct chg *chg, uint64_t version, int64_t *at_ms)
 {
@@ -469,7 +483,10 @@
 	return false;
 }
 
-/* Tells how far a version is in force. */
+/*
+ * Reports whether a version is pending, accepted or in force, and which voters
+ * are missing for its acceptance.
+ */
 void
 chg_progress(struct chg *chg, uint64_t version, struct chg_progress *progress)
 {
@@ -485,7 +502,7 @@
 			progress->missing, CHG_MISSING_MAX,
 			&progress->n_missing))
 			return;
-		note_accepted(chg, version, now_ms);
+		record_accepted(chg, version, now_ms);
 		at_ms = now_ms;
 	}
 	progress->state = CHG_ACCEPTED;
--- a/src/version/change.h
+++ b/src/version/change.h
@@ -12,9 +12,10 @@
 #include "store.h"
 
 /*
- * Changes of the configuration document, one at a time, and how far each is
- * in force.  Also keeps this entry's voter up to date and confirms the
- * configuration by rounds while the store gives no answer.
+ * Makes changes to the configuration document, one at a time, and reports
+ * whether each is in force.  Also makes this entry a voter when its failure
+ * domain needs one, and confirms the configuration by the answers of peers
+ * while the store is unreachable.
  */
 struct chg;
 
@@ -29,47 +30,51 @@
 };
 
 /*
- * Runs once with the version that holds the change.  Status codes:
+ * Runs once, with the version that contains the change.  Status codes:
  * ST_INVALID, ST_NOT_FOUND, ST_LIMIT, ST_CONFLICT and ST_UNAVAILABLE: nothing
- * was changed; ST_UNKNOWN: the change may or may not take effect, which
- * repeating it with the same change_id resolves.
+ * was changed; ST_UNKNOWN: the change may have taken effect or may still do so;
+ * repeat it with the same change_id to learn the outcome.
  */
 typedef void (*chg_done_fn)(
     const struct status *st, uint64_t version, void *ctx);
 
 struct chg *chg_new(const struct chg_options *opts);
-/* Changes in progress end without a callback. */
+/* Drops queued changes and the one in progress without a callback. */
 void chg_free(struct chg *chg);
 
-/* expected_version is the one that the text was made from; 0: none. */
+/* expected_version: version that the text was edited from; 0: none. */
 void chg_apply(struct chg *chg, uint64_t expected_version,
     const char *change_id, const char *text, chg_done_fn fn, void *ctx);
 void chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
     const char *change_id, chg_done_fn fn, void *ctx);
-/* Operators state that the process of a voter has ended for good. */
+/*
+ * Marks a voter as ended, when operators state that its process has ended for
+ * good.
+ */
 void chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
     chg_done_fn fn, void *ctx);
-/* No done callback with this ctx runs any more; the changes go on. */
+/* Drops the callbacks with this ctx; the changes themselves continue. */
 void chg_cancel(struct chg *chg, const void *ctx);
 
 /*
- * Judges the newest answers.  Call it after quo_answer(); runs by itself
- * every 100 ms.
+ * Evaluates the newest answers of the entries: confirms the configuration held,
+ * records accepted versions and proposes this entry as a voter. Call it after
+ * quo_answer(); a timer also runs it every 100 ms.
  */
 void chg_tick(struct chg *chg);
 /* This entry's answer to a peer; vouches is false after chg_retire(). */
 struct quo_answer chg_self(const struct chg *chg);
 /*
- * Call before the rpc listener closes: a new process that listens on the
- * same address takes this one for ended, so it must vote no more.
+ * Call this before the RPC listener closes: a new process that listens on the
+ * same address treats this one as ended, so this one must not vote any more.
  */
 void chg_retire(struct chg *chg);
 
 enum chg_state {
 	CHG_UNSEEN,  /* this entry holds only lower versions */
-	CHG_PENDING, /* not accepted as far as this entry knows */
+	CHG_PENDING, /* not known to be accepted */
 	CHG_ACCEPTED,
-	CHG_IN_FORCE /* accepted, and freshness_ms have passed */
+	CHG_IN_FORCE /* accepted at least freshness_ms ago */
 };
 
 #define CHG_MISSING_MAX 64
@@ -77,7 +82,10 @@
 struct chg_progress {
 	enum chg_state state;
 	int64_t remaining_ms; /* until in force, when accepted */
-	/* Voters not known to hold it; strings live until the next change. */
+	/*
+	 * Voters not known to hold the version; the strings are valid until the
+	 * next change.
+	 */
 	struct cfg_voter missing[CHG_MISSING_MAX];
 	size_t n_missing;
 };
--- a/src/version/config.c
+++ b/src/version/config.c
@@ -32,7 +32,7 @@
 	return kind_names[kind];
 }
 
-/* Returns false when name is not a kind. */
+/* Returns false if name is not a kind. */
 bool
 cfg_kind_parse(const char *name, enum cfg_kind *kind)
 {
@@ -81,7 +81,6 @@
 	return array;
 }
 
-/* Checks an operators' text without keeping it. */
 bool
 cfg_check_text(
     const char *name, const char *text, size_t len, struct status *st)
@@ -123,9 +122,9 @@
 	return true;
 }
 
-/* Returns the string under key, or "" when there is none. */
+/* Returns the string under key, or "" if there is none. */
 static const char *
-string_at(struct json_object *object, const char *key)
+get_string(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -139,8 +138,8 @@
 static bool
 read_voter(struct json_object *item, struct cfg_voter *voter, struct status *st)
 {
-	const char *domain = string_at(item, "failure_domain");
-	const char *hex = string_at(item, "incarnation");
+	const char *domain = get_string(item, "failure_domain");
+	const char *hex = get_string(item, "incarnation");
 	struct json_object *ended = NULL;
 	guint64 incarnation;
 
@@ -153,7 +152,7 @@
 	json_object_object_get_ex(item, "ended", &ended);
 	voter->failure_domain = g_strdup(domain);
 	voter->incarnation = incarnation;
-	voter->address = g_strdup(string_at(item, "address"));
+	voter->address = g_strdup(get_string(item, "address"));
 	voter->ended = json_object_get_boolean(ended);
 	return true;
 }
@@ -243,7 +242,7 @@
 	    "config", cfg->text, strlen(cfg->text), &cfg->parsed, st);
 }
 
-/* Parses a document as stored; the caller owns the reference returned. */
+/* Parses a stored document; the caller owns the returned reference. */
 struct cfg *
 cfg_parse(const char *document, size_t len, struct status *st)
 {
@@ -317,7 +316,6 @@
 	return array;
 }
 
-/* Writes a document as it is stored. */
 char *
 cfg_write(const struct cfg_parts *parts)
 {
@@ -401,7 +399,7 @@
 	return cfg->change_id;
 }
 
-/* Tells whether operators took something out of service. */
+/* Returns true if operators have taken this object out of service. */
 bool
 cfg_is_out(const struct cfg *cfg, enum cfg_kind kind, const char *name)
 {
@@ -503,7 +501,7 @@
 	return NULL;
 }
 
-/* A service that the text doesn't list is not blocked here. */
+/* A service that the operators' text does not list counts as not blocked. */
 const char *
 cfg_blocked_by(const struct cfg *cfg, const char *service,
     cfg_is_live_fn is_live, void *ctx)
--- a/src/version/config.h
+++ b/src/version/config.h
@@ -32,15 +32,15 @@
 struct cfg_voter {
 	const char *failure_domain;
 	uint64_t incarnation;
-	const char *address; /* rpc; "" when not known */
-	/* Its process is known to have ended, so it answers no round again. */
+	const char *address; /* RPC; "" if unknown */
+	/* Its process is known to have ended, so it can't vote any more. */
 	bool ended;
 };
 
-/* A change by operators; the document keeps the latest CFG_CHANGES_MAX. */
+/* A change by operators; the document lists the latest CFG_CHANGES_MAX. */
 struct cfg_change {
 	const char *change_id;
-	uint64_t version; /* that it made */
+	uint64_t version; /* created by the change */
 };
 
 #define CFG_CHANGES_MAX	   16
@@ -54,7 +54,7 @@
 
 struct cfg_domain {
 	const char *name;
-	const char *region; /* empty: not given */
+	const char *region; /* empty: not set */
 	bool entries;	    /* holds entries, so it has a voter */
 };
 
@@ -63,7 +63,7 @@
 	size_t n;
 };
 
-/* What cfg_write() turns into a stored document. */
+/* The parts of a document, from which cfg_write() writes it. */
 struct cfg_parts {
 	uint64_t version;
 	const char *change_id;
@@ -76,20 +76,20 @@
 	size_t n_changes;
 };
 
-/* The document as JSON; the caller frees it with g_free(). */
+/* Returns the document as JSON; the caller frees it with g_free(). */
 char *cfg_write(const struct cfg_parts *parts);
 const char *cfg_kind_name(enum cfg_kind kind);
 bool cfg_kind_parse(const char *name, enum cfg_kind *kind);
 
-/* Parses a document as stored; NULL on error. */
+/* Parses a stored document; NULL on error. */
 struct cfg *cfg_parse(const char *document, size_t len, struct status *st);
-/* Checks an operators' text; name is used in the message. */
+/* Checks an operators' text; error messages refer to it by name. */
 bool cfg_check_text(
     const char *name, const char *text, size_t len, struct status *st);
 struct cfg *cfg_ref(struct cfg *cfg);
 void cfg_unref(struct cfg *cfg);
 
-/* Everything returned below lives as long as cfg. */
+/* Pointers returned by the functions below are valid as long as cfg. */
 uint64_t cfg_version(const struct cfg *cfg);
 const char *cfg_document(const struct cfg *cfg, size_t *len);
 const char *cfg_text(const struct cfg *cfg);
@@ -100,7 +100,7 @@
 const struct cfg_team *cfg_team(const struct cfg *cfg, const char *name);
 const struct cfg_domain *cfg_domains(const struct cfg *cfg, size_t *n);
 const struct cfg_change *cfg_changes(const struct cfg *cfg, size_t *n);
-/* Version that a recent change made; 0: not among the changes kept. */
+/* Version created by a change; 0: not among the changes listed. */
 uint64_t cfg_change_version(const struct cfg *cfg, const char *change_id);
 const struct cfg_out *cfg_outs(const struct cfg *cfg, size_t *n);
 size_t cfg_voter_sets(const struct cfg *cfg);
@@ -109,9 +109,9 @@
 
 typedef bool (*cfg_is_live_fn)(const char *service, void *ctx);
 /*
- * Returns the first service that blocks the given one: the service itself or
- * a direct or indirect dependency that is out, or a dependency that is
- * neither external nor live.  NULL when nothing blocks it.
+ * Returns the first service that blocks the given one: the service itself if it
+ * is out of service, or a direct or indirect dependency that is out of service
+ * or is neither external nor live.  NULL if nothing blocks it.
  */
 const char *cfg_blocked_by(const struct cfg *cfg, const char *service,
     cfg_is_live_fn is_live, void *ctx);
--- a/src/version/config_text.c
+++ b/src/version/config_text.c
@@ -33,7 +33,7 @@
 }
 
 static GArray *
-new_array(guint size, GDestroyNotify clear)
+array_new(guint size, GDestroyNotify clear)
 {
 	GArray *array = g_array_new(FALSE, TRUE, size);
 
@@ -44,9 +44,9 @@
 void
 cfg_text_init(struct cfg_text_parts *text)
 {
-	text->domains = new_array(sizeof(struct cfg_domain), clear_domain);
-	text->services = new_array(sizeof(struct cfg_service), clear_service);
-	text->teams = new_array(sizeof(struct cfg_team), clear_team);
+	text->domains = array_new(sizeof(struct cfg_domain), clear_domain);
+	text->services = array_new(sizeof(struct cfg_service), clear_service);
+	text->teams = array_new(sizeof(struct cfg_team), clear_team);
 }
 
 void
@@ -57,7 +57,6 @@
 	g_array_free(text->teams, TRUE);
 }
 
-/* Returns the first element whose first member, its name, is equal. */
 void *
 cfg_find(const GArray *array, const char *name)
 {
@@ -72,7 +71,7 @@
 	return NULL;
 }
 
-/* Reads the name of an item, which no earlier item may have. */
+/* Reads the name of an item, which must differ from those of earlier items. */
 static bool
 read_unique_name(const struct jsonc_node *item, const GArray *array,
     const char **out, struct status *st)
@@ -180,7 +179,7 @@
 	return ok;
 }
 
-/* Reads "limits", which hold for every service without its own value. */
+/* Reads "limits", the default limits of all services. */
 static bool
 read_default_limits(const struct jsonc_node *root, struct cfg_service *defaults,
     struct status *st)
@@ -229,7 +228,10 @@
 
 enum mark { UNVISITED, VISITING, VISITED };
 
-/* Depth-first search from a service; a service met twice closes a cycle. */
+/*
+ * Depth-first search from a service; a dependency that is still being visited
+ * closes a cycle.
+ */
 static bool
 check_cycle(const struct jsonc_node *root, const GArray *services, guint i,
     enum mark *marks, struct status *st)
@@ -284,7 +286,10 @@
 	return ok;
 }
 
-/* Parses an operators' text into parts, which the caller clears. */
+/*
+ * Parses an operators' text into *text, which the caller frees with
+ * cfg_text_clear() even after an error.
+ */
 bool
 cfg_text_parse(const char *name, const char *bytes, size_t len,
     struct cfg_text_parts *text, struct status *st)
--- a/src/version/config_text.h
+++ b/src/version/config_text.h
@@ -5,7 +5,7 @@
 
 #include "config.h"
 
-/* The parsed operators' text. */
+/* The parsed text that operators write. */
 struct cfg_text_parts {
 	GArray *domains;  /* struct cfg_domain */
 	GArray *services; /* struct cfg_service */
@@ -16,7 +16,10 @@
 void cfg_text_clear(struct cfg_text_parts *text);
 bool cfg_text_parse(const char *name, const char *bytes, size_t len,
     struct cfg_text_parts *text, struct status *st);
-/* An element of an array of structs whose first member is the name. */
+/*
+ * Finds an element by name in an array of structs whose first member is the
+ * name; NULL if there is none.
+ */
 void *cfg_find(const GArray *array, const char *name);
 
 #endif
--- a/src/version/draft.c
+++ b/src/version/draft.c
@@ -4,10 +4,13 @@
 
 #include "draft.h"
 
-/* The store takes values up to 1 MB; peers take no larger document either. */
+/*
+ * The store accepts values up to 1 MB, and peers accept no larger document
+ * either.
+ */
 #define MAX_DOCUMENT_BYTES 1000000
 
-/* The successor document in the making; strings are borrowed. */
+/* The next document under construction; strings are borrowed. */
 struct draft {
 	struct cfg_parts parts;
 	GArray *outs;
@@ -16,7 +19,7 @@
 	struct vot_sets voters;
 };
 
-/* Version made by the newest change of operators; 0 without a document. */
+/* Version created by the newest change of operators; 0 without a document. */
 static uint64_t
 operators_version(const struct cfg *base)
 {
@@ -30,8 +33,9 @@
 }
 
 /*
- * Replaced voters raise the version too, but they don't touch what operators
- * see, so the version expected may be any since the last operators' change.
+ * A change of the voter sets raises the version without touching what operators
+ * edit, so expected_version may be any version since the newest change of
+ * operators.
  */
 static enum st_code
 check_apply(
@@ -49,7 +53,7 @@
 }
 
 static bool
-is_named(const struct cfg *base, enum cfg_kind kind, const char *name)
+is_configured(const struct cfg *base, enum cfg_kind kind, const char *name)
 {
 	const struct cfg_domain *domains;
 	size_t i, n;
@@ -70,7 +74,7 @@
 check_out(const struct drf_change *change, const struct cfg *base, bool *noop,
     struct status *st)
 {
-	if (!is_named(base, change->out_kind, change->name))
+	if (!is_configured(base, change->out_kind, change->name))
 		return st_set(st, ST_NOT_FOUND,
 		    "%s \"%s\" is not in the configuration",
 		    cfg_kind_name(change->out_kind), change->name);
@@ -105,21 +109,21 @@
 }
 
 static enum st_code
-check_voter(const struct vot_input *in, bool *noop)
+check_voters(const struct vot_input *in, bool *noop)
 {
 	struct vot_input full = *in;
 	struct vot_sets sets;
 
 	full.domains = cfg_domains(in->base, &full.n_domains);
 	vot_next(&full, &sets);
-	*noop = !sets.names_self && !sets.marked;
+	*noop = !sets.adds_self && !sets.marks_ended;
 	vot_free(&sets);
 	return ST_OK;
 }
 
 /*
- * Checks a change against the document that it would follow.  *noop is set
- * when that document already says what the change wants.
+ * Checks whether a change can be applied to the document in->base.  Sets *noop
+ * if that document contains the effect of the change already.
  */
 enum st_code
 drf_check(const struct drf_change *change, const struct vot_input *in,
@@ -135,7 +139,7 @@
 		return check_out(change, in->base, noop, st);
 	if (change->kind == DRF_ENDED)
 		return check_ended(change, in, noop, st);
-	return check_voter(in, noop);
+	return check_voters(in, noop);
 }
 
 static void
@@ -214,9 +218,12 @@
 	vot_free(&draft->voters);
 }
 
-/* The domains of the text to come: those of base unless op has a text. */
+/*
+ * Returns the failure domains of the next document: those of base, or of the
+ * change's text, which is parsed into *parsed.
+ */
 static const struct cfg_domain *
-domains_of(const struct drf_change *change, const struct cfg *base,
+next_domains(const struct drf_change *change, const struct cfg *base,
     struct cfg **parsed, size_t *n)
 {
 	struct cfg_parts parts = {
@@ -232,7 +239,10 @@
 	return cfg_domains(*parsed, n);
 }
 
-/* Writes the document that follows in->base; NULL when a limit is reached. */
+/*
+ * Writes the document that follows in->base.  Returns NULL if it would exceed a
+ * limit.
+ */
 char *
 drf_write(const struct drf_change *change, const struct vot_input *in,
     struct status *st)
@@ -243,7 +253,7 @@
 	struct cfg *parsed;
 	char *document = NULL;
 
-	full.domains = domains_of(change, base, &parsed, &full.n_domains);
+	full.domains = next_domains(change, base, &parsed, &full.n_domains);
 	full.ended = change->kind == DRF_ENDED ? change->incarnation : 0;
 	vot_next(&full, &draft.voters);
 	draft.parts.version = base == NULL ? 1 : cfg_version(base) + 1;
--- a/src/version/draft.h
+++ b/src/version/draft.h
@@ -4,16 +4,19 @@
 #include "config.h"
 #include "voters.h"
 
-/* The document that a change turns its predecessor into; pure. */
+/*
+ * Builds the document that results from a change to the current one; uses
+ * nothing but its input.
+ */
 
 enum drf_kind {
-	DRF_APPLY, /* the operators' text */
-	DRF_OUT,   /* out of service or back in */
-	DRF_ENDED, /* a voter's process has ended */
-	DRF_VOTER  /* nothing but the voter sets */
+	DRF_APPLY, /* replaces the operators' text */
+	DRF_OUT,   /* takes out of service or back in */
+	DRF_ENDED, /* marks a voter's process as ended */
+	DRF_VOTER  /* changes only the voter sets */
 };
 
-/* Members that a kind does not use are 0. */
+/* Fields that a kind does not use are 0. */
 struct drf_change {
 	enum drf_kind kind;
 	const char *change_id;
@@ -25,7 +28,7 @@
 	uint64_t incarnation;
 };
 
-/* Both ignore the domains and ended of the input. */
+/* Both functions ignore in->domains and in->ended. */
 enum st_code drf_check(const struct drf_change *change,
     const struct vot_input *in, bool *noop, struct status *st);
 char *drf_write(const struct drf_change *change, const struct vot_input *in,
--- a/src/version/etcd.c
+++ b/src/version/etcd.c
@@ -33,7 +33,7 @@
 };
 
 static struct json_object *
-base64(const char *data, size_t len)
+base64_string(const char *data, size_t len)
 {
 	char *text = g_base64_encode((const guchar *)data, len);
 	struct json_object *value = json_object_new_string(text);
@@ -42,9 +42,9 @@
 	return value;
 }
 
-/* The gateway writes 64-bit integers as strings and leaves out zeros. */
+/* The gateway writes 64-bit integers as strings and omits zeros. */
 static int64_t
-int_at(struct json_object *object, const char *key)
+get_int(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -54,7 +54,7 @@
 }
 
 static char *
-bytes_at(struct json_object *object, const char *key, gsize *len)
+get_bytes(struct json_object *object, const char *key, gsize *len)
 {
 	struct json_object *value;
 
@@ -65,8 +65,8 @@
 }
 
 static void
-finish(struct call *call, const struct status *st, const void *values, size_t n,
-    size_t total, int64_t number, int64_t ttl_s)
+complete_call(struct call *call, const struct status *st, const void *values,
+    size_t n, size_t total, int64_t number, int64_t ttl_s)
 {
 	if (call->cancelled)
 		return;
@@ -80,7 +80,7 @@
 }
 
 static void
-finish_read(
+complete_read(
     struct call *call, struct json_object *reply, const struct status *st)
 {
 	struct json_object *kvs = NULL, *kv;
@@ -94,12 +94,13 @@
 	values = g_new0(struct store_value, n + 1);
 	for (i = 0; i < n; i++) {
 		kv = json_object_array_get_idx(kvs, i);
-		values[i].key = bytes_at(kv, "key", &len);
-		values[i].data = bytes_at(kv, "value", &len);
+		values[i].key = get_bytes(kv, "key", &len);
+		values[i].data = get_bytes(kv, "value", &len);
 		values[i].len = len;
-		values[i].mod_revision = int_at(kv, "mod_revision");
+		values[i].mod_revision = get_int(kv, "mod_revision");
 	}
-	finish(call, st, values, n, (size_t)int_at(reply, "count"), 0, 0);
+	complete_call(
+	    call, st, values, n, (size_t)get_int(reply, "count"), 0, 0);
 	for (i = 0; i < n; i++) {
 		g_free((char *)values[i].key);
 		g_free((char *)values[i].data);
@@ -108,17 +109,17 @@
 }
 
 static void
-finish_write(struct call *call, struct json_object *reply, struct status *st)
+complete_write(struct call *call, struct json_object *reply, struct status *st)
 {
 	struct json_object *header = NULL, *succeeded = NULL;
 	int64_t revision;
 
 	json_object_object_get_ex(reply, "header", &header);
-	revision = int_at(header, "revision");
-	/* Only a transaction has "succeeded"; a false one is left out. */
+	revision = get_int(header, "revision");
+	/* Only a transaction has "succeeded", which is omitted if false. */
 	if (json_object_object_get_ex(reply, "succeeded", &succeeded) &&
 	    json_object_get_boolean(succeeded)) {
-		finish(call, st, NULL, 0, 0, revision, 0);
+		complete_call(call, st, NULL, 0, 0, revision, 0);
 		return;
 	}
 	if (g_str_has_suffix(
@@ -126,39 +127,39 @@
 		st_set(st, ST_CONFLICT, "the key was changed concurrently");
 		revision = 0;
 	}
-	finish(call, st, NULL, 0, 0, revision, 0);
+	complete_call(call, st, NULL, 0, 0, revision, 0);
 }
 
 static void
-finish_lease(struct call *call, struct json_object *reply, struct status *st)
+complete_lease(struct call *call, struct json_object *reply, struct status *st)
 {
 	struct json_object *result;
 	int64_t lease, ttl_s;
 
-	/* keepalive is a stream: each message is under "result". */
+	/* keepalive is a streaming call: each message is under "result". */
 	if (!json_object_object_get_ex(reply, "result", &result))
 		result = reply;
-	lease = int_at(result, "ID");
-	ttl_s = int_at(result, "TTL");
+	lease = get_int(result, "ID");
+	ttl_s = get_int(result, "TTL");
 	if (ttl_s <= 0 &&
 	    !g_str_has_suffix(
 		g_uri_get_path(soup_message_get_uri(call->msg)), "/revoke"))
 		st_set(st, ST_NOT_FOUND, "the lease has gone");
-	finish(call, st, NULL, 0, 0, lease, ttl_s);
+	complete_call(call, st, NULL, 0, 0, lease, ttl_s);
 }
 
 static void
-fail(struct call *call, const char *why, bool reached)
+fail_call(struct call *call, const char *why, bool may_have_arrived)
 {
 	struct status st;
 
-	if (call->kind == WRITE && reached)
+	if (call->kind == WRITE && may_have_arrived)
 		st_set(&st, ST_UNKNOWN, "store write has no reply: %s", why);
 	else if (call->timed_out)
 		st_set(&st, ST_TIMEOUT, "store: %s", why);
 	else
 		st_set(&st, ST_UNAVAILABLE, "store: %s", why);
-	finish(call, &st, NULL, 0, 0, 0, 0);
+	complete_call(call, &st, NULL, 0, 0, 0, 0);
 }
 
 static void
@@ -173,29 +174,29 @@
 	char why[160];
 
 	data = g_bytes_get_data(body, &len);
-	/* A lease that has gone is code 5 (not found) of gRPC, status 404. */
+	/* gRPC code 5 (NOT_FOUND), for an expired lease, gives status 404. */
 	if (code == SOUP_STATUS_NOT_FOUND && call->kind != READ) {
 		st_set(&st, ST_NOT_FOUND, "the lease has gone");
-		finish(call, &st, NULL, 0, 0, 0, 0);
+		complete_call(call, &st, NULL, 0, 0, 0, 0);
 		return;
 	}
 	if (code != SOUP_STATUS_OK) {
 		g_snprintf(why, sizeof(why), "HTTP status %u: %.*s", code,
 		    (int)MIN(len, 100), len > 0 ? data : "");
-		fail(call, why, true);
+		fail_call(call, why, true);
 		return;
 	}
 	tok = json_tokener_new();
 	reply = json_tokener_parse_ex(tok, len > 0 ? data : "", (int)len);
 	json_tokener_free(tok);
 	if (!json_object_is_type(reply, json_type_object))
-		fail(call, "reply is not a JSON object", true);
+		fail_call(call, "reply is not a JSON object", true);
 	else if (call->kind == READ)
-		finish_read(call, reply, &st);
+		complete_read(call, reply, &st);
 	else if (call->kind == WRITE)
-		finish_write(call, reply, &st);
+		complete_write(call, reply, &st);
 	else
-		finish_lease(call, reply, &st);
+		complete_lease(call, reply, &st);
 	json_object_put(reply);
 }
 
@@ -225,7 +226,7 @@
 		g_bytes_unref(body);
 	} else {
 		/* Only a refused connection proves that nothing was sent. */
-		fail(call,
+		fail_call(call,
 		    call->timed_out ? "no reply in time" : error->message,
 		    !g_error_matches(
 			error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED));
@@ -245,9 +246,9 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Sends a request and takes over the body object. */
+/* Sends a request and takes ownership of body. */
 static void
-start(struct store *store, const char *path, struct json_object *body,
+send_request(struct store *store, const char *path, struct json_object *body,
     const struct call *template)
 {
 	struct etcd *etcd = (struct etcd *)store;
@@ -281,11 +282,11 @@
 	struct call call = {.kind = READ, .on_read = fn, .ctx = ctx};
 	struct json_object *body = json_object_new_object();
 
-	json_object_object_add(body, "key", base64(key, strlen(key)));
+	json_object_object_add(body, "key", base64_string(key, strlen(key)));
 	if (min_mod_revision > 0)
 		json_object_object_add(body, "min_mod_revision",
 		    json_object_new_int64(min_mod_revision));
-	start(store, "/v3/kv/range", body, &call);
+	send_request(store, "/v3/kv/range", body, &call);
 }
 
 static void
@@ -297,12 +298,12 @@
 	size_t len = strlen(prefix);
 	char *end = g_strdup(prefix);
 
-	/* The smallest key above all keys with the prefix. */
+	/* The smallest key greater than all keys with the prefix. */
 	end[len - 1]++;
-	json_object_object_add(body, "key", base64(prefix, len));
-	json_object_object_add(body, "range_end", base64(end, len));
+	json_object_object_add(body, "key", base64_string(prefix, len));
+	json_object_object_add(body, "range_end", base64_string(end, len));
 	g_free(end);
-	start(store, "/v3/kv/range", body, &call);
+	send_request(store, "/v3/kv/range", body, &call);
 }
 
 static struct json_object *
@@ -310,8 +311,8 @@
 {
 	struct json_object *put = json_object_new_object();
 
-	json_object_object_add(put, "key", base64(key, strlen(key)));
-	json_object_object_add(put, "value", base64(data, len));
+	json_object_object_add(put, "key", base64_string(key, strlen(key)));
+	json_object_object_add(put, "value", base64_string(data, len));
 	if (lease != 0)
 		json_object_object_add(
 		    put, "lease", json_object_new_int64(lease));
@@ -320,8 +321,9 @@
 
 /* A key that does not exist has the mod revision 0. */
 static void
-etcd_swap(struct store *store, const char *key, int64_t mod_revision,
-    const char *data, size_t len, store_write_fn fn, void *ctx)
+etcd_compare_and_swap(struct store *store, const char *key,
+    int64_t mod_revision, const char *data, size_t len, store_write_fn fn,
+    void *ctx)
 {
 	struct call call = {.kind = WRITE, .on_write = fn, .ctx = ctx};
 	struct json_object *body = json_object_new_object();
@@ -330,7 +332,7 @@
 	struct json_object *op = json_object_new_object();
 	struct json_object *ops = json_object_new_array();
 
-	json_object_object_add(compare, "key", base64(key, strlen(key)));
+	json_object_object_add(compare, "key", base64_string(key, strlen(key)));
 	json_object_object_add(
 	    compare, "target", json_object_new_string("MOD"));
 	json_object_object_add(
@@ -343,7 +345,7 @@
 	json_object_array_add(ops, op);
 	json_object_object_add(body, "compare", compares);
 	json_object_object_add(body, "success", ops);
-	start(store, "/v3/kv/txn", body, &call);
+	send_request(store, "/v3/kv/txn", body, &call);
 }
 
 static void
@@ -352,7 +354,8 @@
 {
 	struct call call = {.kind = WRITE, .on_write = fn, .ctx = ctx};
 
-	start(store, "/v3/kv/put", put_request(key, data, len, lease), &call);
+	send_request(
+	    store, "/v3/kv/put", put_request(key, data, len, lease), &call);
 }
 
 static void
@@ -361,37 +364,37 @@
 	struct call call = {.kind = WRITE, .on_write = fn, .ctx = ctx};
 	struct json_object *body = json_object_new_object();
 
-	json_object_object_add(body, "key", base64(key, strlen(key)));
-	start(store, "/v3/kv/deleterange", body, &call);
+	json_object_object_add(body, "key", base64_string(key, strlen(key)));
+	send_request(store, "/v3/kv/deleterange", body, &call);
 }
 
 static void
-lease_call(struct store *store, const char *path, const char *key,
+send_lease_request(struct store *store, const char *path, const char *key,
     int64_t value, store_lease_fn fn, void *ctx)
 {
 	struct call call = {.kind = LEASE, .on_lease = fn, .ctx = ctx};
 	struct json_object *body = json_object_new_object();
 
 	json_object_object_add(body, key, json_object_new_int64(value));
-	start(store, path, body, &call);
+	send_request(store, path, body, &call);
 }
 
 static void
 etcd_grant(struct store *store, int64_t ttl_s, store_lease_fn fn, void *ctx)
 {
-	lease_call(store, "/v3/lease/grant", "TTL", ttl_s, fn, ctx);
+	send_lease_request(store, "/v3/lease/grant", "TTL", ttl_s, fn, ctx);
 }
 
 static void
 etcd_keepalive(struct store *store, int64_t lease, store_lease_fn fn, void *ctx)
 {
-	lease_call(store, "/v3/lease/keepalive", "ID", lease, fn, ctx);
+	send_lease_request(store, "/v3/lease/keepalive", "ID", lease, fn, ctx);
 }
 
 static void
 etcd_revoke(struct store *store, int64_t lease, store_lease_fn fn, void *ctx)
 {
-	lease_call(store, "/v3/lease/revoke", "ID", lease, fn, ctx);
+	send_lease_request(store, "/v3/lease/revoke", "ID", lease, fn, ctx);
 }
 
 static void
@@ -414,7 +417,7 @@
 	struct etcd *etcd = (struct etcd *)store;
 	guint i;
 
-	/* The calls end themselves when the main loop next runs. */
+	/* The cancelled calls free themselves when the main loop runs next. */
 	for (i = 0; i < etcd->active->len; i++) {
 		struct call *call = g_ptr_array_index(etcd->active, i);
 
@@ -431,7 +434,7 @@
 static const struct store_ops etcd_ops = {
     .read = etcd_read,
     .read_prefix = etcd_read_prefix,
-    .swap = etcd_swap,
+    .compare_and_swap = etcd_compare_and_swap,
     .put = etcd_put,
     .remove = etcd_remove,
     .grant = etcd_grant,
@@ -441,7 +444,7 @@
     .free = etcd_free,
 };
 
-/* Makes an adapter; no connection is opened before the first call. */
+/* Opens no connection before the first call. */
 struct store *
 etcd_new(const struct etcd_options *opts)
 {
--- a/src/version/fresh.c
+++ b/src/version/fresh.c
@@ -8,20 +8,20 @@
 };
 
 struct fresh {
-	int64_t limit_ms;
+	int64_t max_age_ms;
 	struct cfg *cfg;
 	bool confirmed;
 	int64_t as_of_ms;
 	GArray *listeners;
 };
 
-/* limit_ms is the greatest age at which the configuration is current. */
+/* max_age_ms: greatest age at which the configuration counts as current. */
 struct fresh *
-fresh_new(int64_t limit_ms)
+fresh_new(int64_t max_age_ms)
 {
 	struct fresh *fresh = g_new0(struct fresh, 1);
 
-	fresh->limit_ms = limit_ms;
+	fresh->max_age_ms = max_age_ms;
 	fresh->listeners = g_array_new(FALSE, FALSE, sizeof(struct listener));
 	return fresh;
 }
@@ -37,7 +37,7 @@
 	g_free(fresh);
 }
 
-/* Adds a listener, which is kept until fresh is freed. */
+/* Adds a listener, which stays until fresh is freed. */
 void
 fresh_on_changed(struct fresh *fresh, fresh_changed_fn fn, void *ctx)
 {
@@ -46,7 +46,10 @@
 	g_array_append_val(fresh->listeners, listener);
 }
 
-/* Takes a configuration and tells the listeners, unless it is not newer. */
+/*
+ * Replaces the configuration by cfg if that is newer, and notifies the
+ * listeners.
+ */
 void
 fresh_take(struct fresh *fresh, struct cfg *cfg)
 {
@@ -67,8 +70,8 @@
 }
 
 /*
- * Moves the confirmation time forward.  A higher version held than the one
- * confirmed is fine: nothing above it was accepted at that time either.
+ * Advances the confirmation time.  The version held may be higher than the one
+ * confirmed: no version above either was accepted at as_of_ms.
  */
 void
 fresh_confirm(struct fresh *fresh, uint64_t version, int64_t as_of_ms)
@@ -93,7 +96,7 @@
 	return fresh->cfg == NULL ? 0 : cfg_version(fresh->cfg);
 }
 
-/* Returns the time since the last confirmation, or -1 without one. */
+/* Returns the time since the last confirmation, or -1 if there was none. */
 int64_t
 fresh_age_ms(const struct fresh *fresh, int64_t now_ms)
 {
@@ -102,11 +105,11 @@
 	return now_ms > fresh->as_of_ms ? now_ms - fresh->as_of_ms : 0;
 }
 
-/* Tells whether work may start under the configuration held. */
+/* Returns true if tasks may start under the configuration held. */
 bool
 fresh_is_current(const struct fresh *fresh, int64_t now_ms)
 {
 	int64_t age_ms = fresh_age_ms(fresh, now_ms);
 
-	return age_ms >= 0 && age_ms <= fresh->limit_ms;
+	return age_ms >= 0 && age_ms <= fresh->max_age_ms;
 }
--- a/src/version/fresh.h
+++ b/src/version/fresh.h
@@ -7,23 +7,27 @@
 #include "version/config.h"
 
 /*
- * The newest configuration that a process holds, and when it was last known
- * to be the newest accepted one.  Times are CLOCK_BOOTTIME milliseconds.
+ * The newest configuration that this process holds, and the last time at which
+ * it was confirmed that no newer version was accepted.  Times are
+ * CLOCK_BOOTTIME milliseconds.
  */
 struct fresh;
 
 typedef void (*fresh_changed_fn)(struct cfg *cfg, void *ctx);
 
-struct fresh *fresh_new(int64_t limit_ms);
+struct fresh *fresh_new(int64_t max_age_ms);
 void fresh_free(struct fresh *fresh);
-/* Runs fn after each newer configuration; several may be added. */
+/*
+ * Runs fn whenever a newer configuration is held; may be called repeatedly to
+ * add several listeners.
+ */
 void fresh_on_changed(struct fresh *fresh, fresh_changed_fn fn, void *ctx);
 
-/* Takes cfg when it is newer than the one held; adds its own reference. */
+/* Replaces the configuration held if cfg is newer; adds its own reference. */
 void fresh_take(struct fresh *fresh, struct cfg *cfg);
 /*
- * Notes that no version above the given one was accepted as of as_of_ms.
- * Ignored while the version held is lower.
+ * Records that no version above the given one was accepted as of as_of_ms.
+ * Ignored if the version held is lower than the given one.
  */
 void fresh_confirm(struct fresh *fresh, uint64_t version, int64_t as_of_ms);
 
--- a/src/version/keyspace.h
+++ b/src/version/keyspace.h
@@ -8,12 +8,12 @@
 #include "process/status.h"
 
 /*
- * The part of the platform's store that mirrors use: lists, watches, and
- * single writes.  Every call is asynchronous and runs its callback exactly
- * once from the main loop.  Status codes: ST_OK; ST_UNAVAILABLE or ST_TIMEOUT
- * without an answer; ST_NOT_FOUND for a watch whose history is gone;
- * ST_UNKNOWN for a write that may have taken effect; ST_CONFLICT for a write
- * whose condition does not hold.
+ * Interface to the platform's key-value store for mirrors: lists, watches and
+ * single writes.  Every call is asynchronous and runs its callback exactly once
+ * from the main loop.  Status codes: ST_OK; ST_UNAVAILABLE or ST_TIMEOUT
+ * without an answer; ST_NOT_FOUND for a watch from a revision whose later
+ * changes the store no longer keeps; ST_UNKNOWN for a write that may have taken
+ * effect; ST_CONFLICT for a write whose condition does not hold.
  */
 struct ks_item {
 	const char *key;
@@ -26,8 +26,8 @@
 struct ks_page {
 	const struct ks_item *items;
 	size_t n_items;
-	int64_t as_of; /* revision of the store */
-	bool has_more; /* continue behind the last key */
+	int64_t as_of; /* revision of the store at the answer */
+	bool has_more; /* more keys follow: list again after the last one */
 };
 
 typedef void (*ks_page_fn)(
@@ -36,15 +36,15 @@
 
 struct ks {
 	void *store;
-	/* behind_key "": from the first key. */
-	void (*list)(void *store, const char *prefix, const char *behind_key,
+	/* Lists keys greater than after_key; "": from the first key. */
+	void (*list)(void *store, const char *prefix, const char *after_key,
 	    ks_page_fn fn, void *ctx);
-	/* Waits up to wait_ms for changes after a revision. */
+	/* Waits up to wait_ms for changes after the revision after. */
 	void (*watch)(void *store, const char *prefix, int64_t after,
 	    int64_t wait_ms, ks_page_fn fn, void *ctx);
 	void (*put)(void *store, const char *key, const char *data, size_t len,
 	    ks_write_fn fn, void *ctx);
-	/* Removes the key if its last change has this revision. */
+	/* Removes the key if it was last written at this revision. */
 	void (*remove)(void *store, const char *key, int64_t revision,
 	    ks_write_fn fn, void *ctx);
 };
--- a/src/version/members.c
+++ b/src/version/members.c
@@ -9,10 +9,13 @@
 #include "process/jsonc.h"
 #include "process/log.h"
 
-#define RETRY_MS	500
-#define KEEPALIVE_SHARE 3 /* keepalives per lease time */
-#define REJOIN_POLLS	5 /* polls that a live entry has to register again */
-#define MAX_REMOVED	4096
+#define RETRY_DELAY_MS	     500
+#define KEEPALIVES_PER_LEASE 3
+/*
+ * Poll periods within which a live entry whose lease was lost registers again.
+ */
+#define REREGISTER_POLLS    5
+#define MAX_REMOVED_ENTRIES 4096
 
 struct mem {
 	struct store *store;
@@ -24,18 +27,18 @@
 
 	int64_t lease; /* 0: none */
 	bool registered;
-	bool lease_busy;
-	bool leaving;
-	mem_changed_fn on_left;
-	void *left_ctx;
+	bool lease_call_active;
+	bool deregistering;
+	mem_changed_fn on_deregistered;
+	void *deregistered_ctx;
 	guint lease_timer;
 
 	guint poll_timer;
-	bool poll_busy;
+	bool poll_active;
 	int64_t poll_sent_ms;
-	int64_t last_poll_ms;	/* last answered poll */
-	int64_t unbroken_since; /* first of the polls answered without a gap */
-	GArray *list;		/* struct mem_entry, sorted */
+	int64_t last_poll_ms;	  /* time of the last answered poll */
+	int64_t gapless_since_ms; /* first answered poll after the last gap */
+	GArray *list;		  /* struct mem_entry, sorted */
 	uint64_t digest;
 	GHashTable *removed; /* incarnation -> time it left the list */
 };
@@ -100,10 +103,10 @@
 }
 
 static void
-lease_again(struct mem *mem, int64_t after_ms)
+schedule_lease_step(struct mem *mem, int64_t after_ms)
 {
-	mem->lease_busy = false;
-	if (mem->lease_timer == 0 && !mem->leaving)
+	mem->lease_call_active = false;
+	if (mem->lease_timer == 0 && !mem->deregistering)
 		mem->lease_timer =
 		    g_timeout_add((guint)after_ms, on_lease_timer, mem);
 }
@@ -118,14 +121,18 @@
 		mem->registered = true;
 		log_line(LOG_INFO, "registered as %016" PRIx64,
 		    mem->self.incarnation);
-		lease_again(mem, mem->lease_s * 1000 / KEEPALIVE_SHARE);
+		schedule_lease_step(
+		    mem, mem->lease_s * 1000 / KEEPALIVES_PER_LEASE);
 		return;
 	}
-	/* Another put under the same lease is harmless. */
+	/*
+	 * The put may have taken effect; repeating it under the same lease is
+	 * harmless.
+	 */
 	if (st->code == ST_NOT_FOUND)
 		mem->lease = 0;
 	log_line(LOG_WARNING, "registration: %s", st->message);
-	lease_again(mem, RETRY_MS);
+	schedule_lease_step(mem, RETRY_DELAY_MS);
 }
 
 static void
@@ -136,23 +143,24 @@
 	(void)ttl_s;
 	if (st->code != ST_OK) {
 		log_line(LOG_WARNING, "lease: %s", st->message);
-		lease_again(mem, RETRY_MS);
+		schedule_lease_step(mem, RETRY_DELAY_MS);
 		return;
 	}
 	mem->lease = lease;
-	mem->lease_busy = false;
+	mem->lease_call_active = false;
 	lease_step(mem);
 }
 
 static void
-on_kept(const struct status *st, int64_t lease, int64_t ttl_s, void *ctx)
+on_keepalive(const struct status *st, int64_t lease, int64_t ttl_s, void *ctx)
 {
 	struct mem *mem = ctx;
 
 	(void)lease;
 	(void)ttl_s;
 	if (st->code == ST_OK) {
-		lease_again(mem, mem->lease_s * 1000 / KEEPALIVE_SHARE);
+		schedule_lease_step(
+		    mem, mem->lease_s * 1000 / KEEPALIVES_PER_LEASE);
 		return;
 	}
 	if (st->code == ST_NOT_FOUND) {
@@ -160,24 +168,27 @@
 		mem->lease = 0;
 		mem->registered = false;
 	}
-	lease_again(mem, st->code == ST_NOT_FOUND ? 0 : RETRY_MS);
+	schedule_lease_step(mem, st->code == ST_NOT_FOUND ? 0 : RETRY_DELAY_MS);
 }
 
-/* Does the next thing that the registration needs. */
+/*
+ * Makes the next call that the registration needs: grants the lease, writes the
+ * key, or keeps the lease alive.
+ */
 static void
 lease_step(struct mem *mem)
 {
 	char *key, *value;
 
-	if (mem->lease_busy || mem->leaving)
+	if (mem->lease_call_active || mem->deregistering)
 		return;
-	mem->lease_busy = true;
+	mem->lease_call_active = true;
 	if (mem->lease == 0) {
 		mem->store->ops->grant(
 		    mem->store, mem->lease_s, on_granted, mem);
 	} else if (mem->registered) {
 		mem->store->ops->keepalive(
-		    mem->store, mem->lease, on_kept, mem);
+		    mem->store, mem->lease, on_keepalive, mem);
 	} else {
 		key = own_key(mem);
 		value = own_value(mem);
@@ -230,9 +241,9 @@
 	return ok;
 }
 
-/* 64-bit FNV-1a over every field. */
+/* 64-bit FNV-1a over all fields; never 0, which stands for no list. */
 static uint64_t
-digest_of(const GArray *list)
+compute_digest(const GArray *list)
 {
 	uint64_t hash = 0xcbf29ce484222325ULL;
 	guint i;
@@ -263,13 +274,13 @@
 	    &key, list->data, list->len, sizeof(key), compare_entries);
 }
 
-/* Notes when each entry that has left the list did so. */
+/* Records the time at which entries left the list. */
 static void
-note_removed(struct mem *mem, const GArray *list, int64_t now_ms)
+record_removed(struct mem *mem, const GArray *list, int64_t now_ms)
 {
 	guint i;
 
-	if (g_hash_table_size(mem->removed) > MAX_REMOVED)
+	if (g_hash_table_size(mem->removed) > MAX_REMOVED_ENTRIES)
 		g_hash_table_remove_all(mem->removed);
 	for (i = 0; i < mem->list->len; i++) {
 		const struct mem_entry *old =
@@ -293,15 +304,18 @@
 	int64_t now_ms = clk_now_ms();
 
 	(void)total;
-	mem->poll_busy = false;
+	mem->poll_active = false;
 	if (st->code != ST_OK) {
 		log_line(LOG_DEBUG, "entry list: %s", st->message);
 		return;
 	}
-	/* A gap of more than two polls hides what happened within it. */
+	/*
+	 * An entry may have registered and left unnoticed during a gap of more
+	 * than two poll periods.
+	 */
 	if (mem->last_poll_ms == 0 ||
 	    mem->poll_sent_ms - mem->last_poll_ms > 2 * mem->poll_ms)
-		mem->unbroken_since = now_ms;
+		mem->gapless_since_ms = now_ms;
 	mem->last_poll_ms = now_ms;
 	list = g_array_new(FALSE, TRUE, sizeof(struct mem_entry));
 	g_array_set_clear_func(list, clear_entry);
@@ -314,8 +328,8 @@
 			clear_entry(&entry);
 	}
 	g_array_sort(list, compare_entries);
-	digest = digest_of(list);
-	note_removed(mem, list, now_ms);
+	digest = compute_digest(list);
+	record_removed(mem, list, now_ms);
 	g_array_free(mem->list, TRUE);
 	mem->list = list;
 	if (digest == mem->digest)
@@ -330,16 +344,16 @@
 {
 	struct mem *mem = ctx;
 
-	if (mem->poll_busy)
+	if (mem->poll_active)
 		return G_SOURCE_CONTINUE;
-	mem->poll_busy = true;
+	mem->poll_active = true;
 	mem->poll_sent_ms = clk_now_ms();
 	mem->store->ops->read_prefix(
 	    mem->store, STORE_ENTRIES_PREFIX, on_list, mem);
 	return G_SOURCE_CONTINUE;
 }
 
-/* Starts to register and to poll the list. */
+/* Starts registering this entry and polling the list. */
 struct mem *
 mem_new(const struct mem_options *opts)
 {
@@ -362,7 +376,10 @@
 	return mem;
 }
 
-/* Leaves the registration to its lease; see mem_leave(). */
+/*
+ * Does not remove the registration, which expires with its lease; see
+ * mem_leave().
+ */
 void
 mem_free(struct mem *mem)
 {
@@ -391,11 +408,11 @@
 		    "registration stays until its lease "
 		    "expires: %s",
 		    st->message);
-	mem->on_left(mem->left_ctx);
+	mem->on_deregistered(mem->deregistered_ctx);
 }
 
 static gboolean
-on_nothing_to_revoke(gpointer ctx)
+on_no_lease(gpointer ctx)
 {
 	struct status st = {.code = ST_OK};
 	struct mem *mem = ctx;
@@ -405,15 +422,15 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Revokes the lease, with which the store removes the registration. */
+/* Revokes the lease, so that the store removes the registration. */
 void
 mem_leave(struct mem *mem, mem_changed_fn fn, void *ctx)
 {
 	mem->store->ops->cancel(mem->store, mem);
-	mem->leaving = true;
+	mem->deregistering = true;
 	mem->registered = false;
-	mem->on_left = fn;
-	mem->left_ctx = ctx;
+	mem->on_deregistered = fn;
+	mem->deregistered_ctx = ctx;
 	if (mem->lease_timer != 0)
 		g_source_remove(mem->lease_timer);
 	g_source_remove(mem->poll_timer);
@@ -423,7 +440,7 @@
 		mem->store->ops->revoke(
 		    mem->store, mem->lease, on_revoked, mem);
 	else
-		mem->poll_timer = g_idle_add(on_nothing_to_revoke, mem);
+		mem->poll_timer = g_idle_add(on_no_lease, mem);
 }
 
 const struct mem_entry *
@@ -451,16 +468,19 @@
 	return mem->registered;
 }
 
-/* See the header; false while the store gives no answers. */
+/*
+ * Returns false while the store does not answer, since the list may be out of
+ * date then.
+ */
 bool
 mem_is_gone(const struct mem *mem, uint64_t incarnation, int64_t now_ms)
 {
-	int64_t grace_ms = REJOIN_POLLS * MAX(mem->poll_ms, RETRY_MS);
-	int64_t since_ms = mem->unbroken_since;
+	int64_t grace_ms = REREGISTER_POLLS * MAX(mem->poll_ms, RETRY_DELAY_MS);
+	int64_t since_ms = mem->gapless_since_ms;
 	const int64_t *removed_ms;
 
 	if (mem->last_poll_ms == 0 || find_in(mem->list, incarnation) != NULL ||
-	    now_ms - mem->last_poll_ms > 2 * mem->poll_ms + RETRY_MS)
+	    now_ms - mem->last_poll_ms > 2 * mem->poll_ms + RETRY_DELAY_MS)
 		return false;
 	removed_ms = g_hash_table_lookup(mem->removed, &incarnation);
 	if (removed_ms != NULL && *removed_ms > since_ms)
--- a/src/version/members.h
+++ b/src/version/members.h
@@ -8,8 +8,8 @@
 #include "store.h"
 
 /*
- * Registration of this entry under a lease, and the list of the registered
- * entries.  While the store gives no answer the last list stays.
+ * Registers this entry in the store under a lease, and polls the list of the
+ * registered entries.  While the store does not answer, the last list is kept.
  */
 struct mem;
 
@@ -17,7 +17,7 @@
 	uint64_t incarnation;
 	const char *name;
 	const char *failure_domain;
-	const char *address; /* rpc */
+	const char *address; /* RPC */
 	const char *operator_address;
 };
 
@@ -28,7 +28,7 @@
 	struct mem_entry self; /* strings are copied */
 	int64_t lease_s;
 	int64_t poll_ms;
-	mem_changed_fn on_changed; /* the list changed */
+	mem_changed_fn on_changed; /* runs when the list has changed */
 	void *ctx;
 };
 
@@ -37,17 +37,22 @@
 /* Removes the registration and stops polling; fn runs once. */
 void mem_leave(struct mem *mem, mem_changed_fn fn, void *ctx);
 
-/* Sorted by incarnation, valid until the next change; never includes one
- * that was not read from the store, so self is missing at first. */
+/*
+ * Sorted by incarnation, valid until the next change.  Contains only entries
+ * read from the store, so this entry itself is missing at first.
+ */
 const struct mem_entry *mem_list(const struct mem *mem, size_t *n);
 const struct mem_entry *mem_find(const struct mem *mem, uint64_t incarnation);
-/* Differs for different lists; 0 until the first list was read. */
+/*
+ * Hash of the list, to detect that it has changed; 0 until the first list was
+ * read.
+ */
 uint64_t mem_digest(const struct mem *mem);
 bool mem_is_registered(const struct mem *mem);
 /*
- * Whether an incarnation is certainly gone: it is not in the list and the
- * list was read without a gap for as long as a live entry needs to register
- * again after it lost its lease.
+ * Returns true if an incarnation is certainly not registered any more: it is
+ * not in the list, and the list was polled without a gap for as long as a live
+ * entry needs to register again after it lost its lease.
  */
 bool mem_is_gone(const struct mem *mem, uint64_t incarnation, int64_t now_ms);
 
--- a/src/version/mirror.c
+++ b/src/version/mirror.c
@@ -4,15 +4,15 @@
 #include "version/mirror.h"
 
 #define BACKOFF_MIN_MS 50
-/* Everything missed in an outage is back within two seconds of its end. */
+/* 800 ms bring a copy up to date within two seconds of the end of an outage. */
 #define BACKOFF_MAX_MS 800
 
 struct mir {
 	struct mir_options opts;
 	char *prefix;
 	GHashTable *items;   /* key to struct mir_item */
-	GHashTable *listing; /* pages of a list in progress, or NULL */
-	int64_t listing_as_of;
+	GHashTable *listing; /* pages of the list in progress, or NULL */
+	int64_t listing_revision;
 	int64_t revision;
 	int64_t confirmed_ms;
 	int64_t backoff_ms;
@@ -23,7 +23,7 @@
 	guint retry_id;
 };
 
-static void next_call(struct mir *mir);
+static void start_next_call(struct mir *mir);
 
 static void
 item_free(gpointer data)
@@ -35,14 +35,14 @@
 }
 
 static GHashTable *
-new_items(void)
+items_new(void)
 {
 	return g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, item_free);
 }
 
 static void
-store_item(GHashTable *items, const struct ks_item *from)
+put_item(GHashTable *items, const struct ks_item *from)
 {
 	struct mir_item *item = g_new0(struct mir_item, 1);
 
@@ -67,13 +67,16 @@
 	struct mir *mir = data;
 
 	mir->retry_id = 0;
-	next_call(mir);
+	start_next_call(mir);
 	return G_SOURCE_REMOVE;
 }
 
-/* Half of the pause is random, so that processes do not return together. */
+/*
+ * Half of the delay is random, so that processes do not all reconnect at the
+ * same time.
+ */
 static void
-retry_later(struct mir *mir, const struct status *st)
+schedule_retry(struct mir *mir, const struct status *st)
 {
 	int64_t pause_ms;
 
@@ -88,7 +91,7 @@
 }
 
 static void
-confirmed(struct mir *mir, const struct status *st)
+mark_confirmed(struct mir *mir, const struct status *st)
 {
 	mir->backoff_ms = 0;
 	mir->confirmed_ms = clk_now_ms();
@@ -105,7 +108,7 @@
 }
 
 static bool
-same_items(GHashTable *a, GHashTable *b)
+items_equal(GHashTable *a, GHashTable *b)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -123,36 +126,37 @@
 	return true;
 }
 
-/* Takes over a complete list. */
+/* Replaces the copy by a complete list. */
 static void
 finish_list(struct mir *mir)
 {
 	bool changed =
-	    mir->revision == 0 || !same_items(mir->items, mir->listing);
+	    mir->revision == 0 || !items_equal(mir->items, mir->listing);
 
 	g_hash_table_unref(mir->items);
 	mir->items = g_steal_pointer(&mir->listing);
-	mir->revision = mir->listing_as_of;
+	mir->revision = mir->listing_revision;
 	mir->listed = true;
 	if (changed)
 		mir->opts.changed(mir, mir->opts.ctx);
 }
 
 /*
- * Pages are no snapshot, so the watch continues from the first page's
- * revision and repeats what later pages held already.
+ * The pages of a list are read at different revisions.  So the watch starts at
+ * the revision of the first page, and repeats changes that later pages
+ * contained already.
  */
 static void
-take_page(struct mir *mir, const struct ks_page *page)
+add_page(struct mir *mir, const struct ks_page *page)
 {
 	size_t i;
 
 	if (mir->listing == NULL) {
-		mir->listing = new_items();
-		mir->listing_as_of = page->as_of;
+		mir->listing = items_new();
+		mir->listing_revision = page->as_of;
 	}
 	for (i = 0; i < page->n_items; i++)
-		store_item(mir->listing, &page->items[i]);
+		put_item(mir->listing, &page->items[i]);
 	if (!page->has_more)
 		finish_list(mir);
 }
@@ -170,23 +174,25 @@
 	}
 	if (st->code != ST_OK) {
 		restart_list(mir);
-		retry_later(mir, st);
+		schedule_retry(mir, st);
 		return;
 	}
 	if (page->as_of < mir->revision) {
 		restart_list(mir);
 		st_set(&old, ST_UNAVAILABLE, "list is older than the copy");
-		retry_later(mir, &old);
+		schedule_retry(mir, &old);
 		return;
 	}
-	confirmed(mir, st);
-	take_page(mir, page);
-	next_call(mir);
+	mark_confirmed(mir, st);
+	add_page(mir, page);
+	start_next_call(mir);
 }
 
-/* Applies one event unless it is older than what the copy holds. */
+/*
+ * Applies one event unless the copy holds this or a newer revision of the key.
+ */
 static bool
-apply(struct mir *mir, const struct ks_item *event)
+apply_event(struct mir *mir, const struct ks_item *event)
 {
 	const struct mir_item *held =
 	    g_hash_table_lookup(mir->items, event->key);
@@ -198,7 +204,7 @@
 	if (event->data == NULL)
 		g_hash_table_remove(mir->items, event->key);
 	else
-		store_item(mir->items, event);
+		put_item(mir->items, event);
 	return true;
 }
 
@@ -216,25 +222,27 @@
 	}
 	if (st->code == ST_NOT_FOUND) {
 		restart_list(mir);
-		next_call(mir);
+		start_next_call(mir);
 		return;
 	}
 	if (st->code != ST_OK) {
-		retry_later(mir, st);
+		schedule_retry(mir, st);
 		return;
 	}
-	confirmed(mir, st);
+	mark_confirmed(mir, st);
 	for (i = 0; i < page->n_items; i++) {
-		if (apply(mir, &page->items[i]))
+		if (apply_event(mir, &page->items[i]))
 			changed = true;
 	}
 	mir->revision = MAX(mir->revision, page->as_of);
 	if (changed)
 		mir->opts.changed(mir, mir->opts.ctx);
-	next_call(mir);
+	start_next_call(mir);
 }
 
-/* The last key of the pages so far; keys are listed in byte order. */
+/*
+ * Returns the last key of the pages read so far; keys are listed in byte order.
+ */
 static const char *
 last_key(GHashTable *items)
 {
@@ -251,7 +259,7 @@
 }
 
 static void
-next_call(struct mir *mir)
+start_next_call(struct mir *mir)
 {
 	const struct ks *ks = mir->opts.ks;
 
@@ -265,7 +273,7 @@
 		    mir);
 }
 
-/* Starts to copy. */
+/* Sends the first list request. */
 struct mir *
 mir_new(const struct mir_options *opts)
 {
@@ -273,12 +281,15 @@
 
 	mir->opts = *opts;
 	mir->prefix = g_strdup(opts->prefix);
-	mir->items = new_items();
-	next_call(mir);
+	mir->items = items_new();
+	start_next_call(mir);
 	return mir;
 }
 
-/* Frees the copy, when a call is open with its callback.  NULL is allowed. */
+/*
+ * Frees the copy; if a call is in progress, its callback does so.  NULL is
+ * allowed.
+ */
 void
 mir_free(struct mir *mir)
 {
--- a/src/version/mirror.h
+++ b/src/version/mirror.h
@@ -8,12 +8,13 @@
 #include "version/keyspace.h"
 
 /*
- * Keeps a copy of all keys with a prefix: lists them once, then watches.  A
- * copy never goes back to an older revision, whatever the store answers.
+ * Keeps a copy of all keys with a prefix: lists them once, then watches for
+ * changes.  The copy never goes back to an older revision, even if the store
+ * answers from an older state.
  */
 struct mir;
 
-/* A value as it was last written. */
+/* The last value of a key. */
 struct mir_item {
 	GBytes *data;
 	int64_t revision;
@@ -23,13 +24,17 @@
 	const struct ks *ks; /* borrowed */
 	const char *prefix;  /* copied */
 	/*
-	 * Longest time a watch waits.  The next one goes over another
-	 * connection when this one went silent.
+	 * Longest time that the store delays the answer to a watch without
+	 * changes.  After a watch that got no answer, the next one uses another
+	 * connection.
 	 */
 	int64_t wait_ms;
-	/* The copy was first made or has changed. */
+	/*
+	 * Runs when the copy is complete for the first time, and after each
+	 * change.
+	 */
 	void (*changed)(struct mir *mir, void *ctx);
-	/* The store was lost or regained. */
+	/* Runs when the store becomes unreachable or reachable. */
 	void (*reachable)(struct mir *mir, bool reachable,
 	    const struct status *st, void *ctx);
 	void *ctx;
@@ -38,13 +43,13 @@
 struct mir *mir_new(const struct mir_options *opts);
 void mir_free(struct mir *mir);
 
-/* Revision of the store up to which the copy is known; 0: none yet. */
+/* Revision of the store that the copy has reached; 0: no copy yet. */
 int64_t mir_revision(const struct mir *mir);
-/* When the store last confirmed the copy (CLOCK_BOOTTIME), 0: never. */
+/* Time of the last answer of the store (CLOCK_BOOTTIME); 0: never. */
 int64_t mir_confirmed_ms(const struct mir *mir);
 /* NULL when there is no such key. */
 const struct mir_item *mir_get(const struct mir *mir, const char *key);
-/* Keys to struct mir_item; borrowed, unordered. */
+/* Maps keys to struct mir_item; borrowed, unordered. */
 GHashTable *mir_items(const struct mir *mir);
 
 #endif
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -3,25 +3,29 @@
 
 #include "quorum.h"
 
-/* Answers are forgotten after this time once there are many of them. */
-#define MANY_ANSWERS   1024
-#define KEEP_ANSWER_MS 600000
+/*
+ * When PRUNE_AT_ANSWERS are stored, those older than ANSWER_RETENTION_MS are
+ * dropped.
+ */
+#define PRUNE_AT_ANSWERS    1024
+#define ANSWER_RETENTION_MS 600000
 
-struct known {
-	struct quo_answer answer; /* newest by as_of_ms */
-	uint64_t held;		  /* highest version ever answered */
+struct entry_state {
+	struct quo_answer answer; /* the newest by as_of_ms */
+	uint64_t highest_version; /* highest version ever reported */
 };
 
 struct quo {
 	int64_t freshness_ms;
-	int64_t contact_ms;
-	GHashTable *known; /* incarnation -> struct known */
+	int64_t store_contact_ms;
+	GHashTable *entries; /* incarnation -> struct entry_state */
 };
 
 /*
- * A store read counts as contact for half of freshness_ms.  With the whole
- * of it, a round would begin to count only when the last confirmation by the
- * store runs out, and agents would stop for a heartbeat at every outage.
+ * A voter counts as in contact with the store for half of freshness_ms after
+ * its last read.  With all of freshness_ms, answers of voters could confirm the
+ * configuration only when the last confirmation by the store expires, and
+ * agents would stop starting tasks for one heartbeat at every outage.
  */
 struct quo *
 quo_new(int64_t freshness_ms)
@@ -29,8 +33,8 @@
 	struct quo *quo = g_new0(struct quo, 1);
 
 	quo->freshness_ms = freshness_ms;
-	quo->contact_ms = freshness_ms / 2;
-	quo->known =
+	quo->store_contact_ms = freshness_ms / 2;
+	quo->entries =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	return quo;
 }
@@ -40,45 +44,46 @@
 {
 	if (quo == NULL)
 		return;
-	g_hash_table_destroy(quo->known);
+	g_hash_table_destroy(quo->entries);
 	g_free(quo);
 }
 
 static gboolean
-is_old(gpointer key, gpointer value, gpointer ctx)
+is_expired(gpointer key, gpointer value, gpointer ctx)
 {
-	const struct known *known = value;
+	const struct entry_state *state = value;
 
 	(void)key;
-	return *(int64_t *)ctx - known->answer.as_of_ms > KEEP_ANSWER_MS;
+	return *(int64_t *)ctx - state->answer.as_of_ms > ANSWER_RETENTION_MS;
 }
 
 /*
- * Takes an answer of a peer.  An incarnation never lowers its version, so the
- * highest one counts for acceptance even when answers arrive out of order.
+ * Records an answer of a peer.  The version held by an incarnation never falls,
+ * so the highest one reported counts for acceptance even if answers arrive out
+ * of order.
  */
 void
 quo_answer(struct quo *quo, const struct quo_answer *answer, int64_t now_ms)
 {
-	struct known *known =
-	    g_hash_table_lookup(quo->known, &answer->incarnation);
+	struct entry_state *state =
+	    g_hash_table_lookup(quo->entries, &answer->incarnation);
 
-	if (known == NULL) {
-		if (g_hash_table_size(quo->known) >= MANY_ANSWERS)
+	if (state == NULL) {
+		if (g_hash_table_size(quo->entries) >= PRUNE_AT_ANSWERS)
 			g_hash_table_foreach_remove(
-			    quo->known, is_old, &now_ms);
-		known = g_new0(struct known, 1);
-		known->answer = *answer;
-		g_hash_table_insert(quo->known,
-		    g_memdup2(&answer->incarnation, sizeof(uint64_t)), known);
+			    quo->entries, is_expired, &now_ms);
+		state = g_new0(struct entry_state, 1);
+		state->answer = *answer;
+		g_hash_table_insert(quo->entries,
+		    g_memdup2(&answer->incarnation, sizeof(uint64_t)), state);
 	}
-	if (answer->as_of_ms >= known->answer.as_of_ms)
-		known->answer = *answer;
-	if (answer->version > known->held)
-		known->held = answer->version;
+	if (answer->as_of_ms >= state->answer.as_of_ms)
+		state->answer = *answer;
+	if (answer->version > state->highest_version)
+		state->highest_version = answer->version;
 }
 
-/* Takes this process's own state, which is always as of now. */
+/* Records this process's own status, whose as_of_ms is the current time. */
 void
 quo_self(struct quo *quo, const struct quo_answer *answer)
 {
@@ -100,9 +105,9 @@
 }
 
 /*
- * Tells whether an entry may answer as a voter.  A process that has just
- * restarted has another incarnation, so no document lists it until it took
- * over its failure domain by a change of its own.
+ * Returns true if the answers of an entry count as votes.  A restarted process
+ * has a new incarnation, which no document lists as a voter until a change
+ * replaces the voter of its failure domain.
  */
 bool
 quo_vouches(const struct cfg *held, uint64_t incarnation)
@@ -120,46 +125,51 @@
 }
 
 static int
-compare_newest_first(const void *a, const void *b)
+compare_descending(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
 
 	return x > y ? -1 : x < y;
 }
 
-/* An answer that is older than freshness_ms proves nothing useful. */
+/*
+ * An answer older than freshness_ms could only give a confirmation that has
+ * expired already.
+ */
 static bool
-is_recent(const struct quo *quo, const struct known *known, int64_t now_ms)
+is_recent(
+    const struct quo *quo, const struct entry_state *state, int64_t now_ms)
 {
-	return now_ms - known->answer.as_of_ms <= quo->freshness_ms;
+	return now_ms - state->answer.as_of_ms <= quo->freshness_ms;
 }
 
 static bool
-has_contact(const struct quo *quo, const struct known *known, int64_t now_ms)
+has_store_contact(
+    const struct quo *quo, const struct entry_state *state, int64_t now_ms)
 {
-	const struct quo_answer *answer = &known->answer;
+	const struct quo_answer *answer = &state->answer;
 
 	return answer->store_age_ms >= 0 &&
 	       answer->store_age_ms + now_ms - answer->as_of_ms <=
-		   quo->contact_ms;
+		   quo->store_contact_ms;
 }
 
 /*
- * The newest store read by any entry.  That entry held at least the newest
- * committed version when it read, so nothing above its version was accepted
- * as of that read.
+ * Confirms by the newest store read of any entry.  After that read the entry
+ * held at least the version committed last, so no version above its own was
+ * accepted when the read was sent.
  */
 static struct quo_proof
-store_proof(const struct quo *quo, int64_t now_ms)
+confirm_by_store(const struct quo *quo, int64_t now_ms)
 {
 	struct quo_proof proof = {0};
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, quo->known);
+	g_hash_table_iter_init(&iter, quo->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct known *known = value;
-		const struct quo_answer *answer = &known->answer;
+		const struct entry_state *state = value;
+		const struct quo_answer *answer = &state->answer;
 		int64_t as_of_ms = answer->as_of_ms - answer->store_age_ms;
 
 		if (answer->store_age_ms < 0 ||
@@ -175,14 +185,14 @@
 }
 
 /*
- * Answers of a majority of the last voter set, all with at most the version
- * held.  An accepted later version would be held by a majority of that set,
- * since each document carries the sets of its predecessors until one of them
- * was accepted, and two majorities share a voter.  Hence the proof holds as of
- * the oldest of the answers.
+ * Confirms by a majority of the last voter set, none of which holds more than
+ * the version held here.  A later version is accepted only when a majority of
+ * this set holds it, since each document keeps the voter sets of its
+ * predecessors until one of these is accepted; two majorities share a voter.
+ * So no later version was accepted when the oldest of the answers was requested.
  */
 static struct quo_proof
-voter_proof(const struct quo *quo, const struct cfg *held, int64_t now_ms)
+confirm_by_voters(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
 	struct quo_proof proof = {0};
 	const struct cfg_voter *voters;
@@ -194,21 +204,25 @@
 	voters = cfg_voters(held, cfg_voter_sets(held) - 1, &n);
 	as_of_ms = g_new0(int64_t, n + 1);
 	for (i = 0; i < n; i++) {
-		const struct known *known =
-		    g_hash_table_lookup(quo->known, &voters[i].incarnation);
+		const struct entry_state *state =
+		    g_hash_table_lookup(quo->entries, &voters[i].incarnation);
 
-		if (known == NULL || voters[i].ended ||
-		    !is_recent(quo, known, now_ms))
+		if (state == NULL || voters[i].ended ||
+		    !is_recent(quo, state, now_ms))
 			continue;
-		/* The store answers that voter: its read is the proof. */
-		if (has_contact(quo, known, now_ms))
+		/*
+		 * This voter reaches the store, so only store reads may
+		 * confirm.
+		 */
+		if (has_store_contact(quo, state, now_ms))
 			break;
-		if (known->answer.vouches && known->held <= cfg_version(held))
-			as_of_ms[n_answers++] = known->answer.as_of_ms;
+		if (state->answer.vouches &&
+		    state->highest_version <= cfg_version(held))
+			as_of_ms[n_answers++] = state->answer.as_of_ms;
 	}
 	if (i == n && n_answers > n / 2) {
 		qsort(as_of_ms, n_answers, sizeof(as_of_ms[0]),
-		    compare_newest_first);
+		    compare_descending);
 		proof.confirmed = true;
 		proof.version = cfg_version(held);
 		proof.as_of_ms = as_of_ms[n / 2];
@@ -218,9 +232,9 @@
 }
 
 /*
- * Tells what the answers prove about the configuration held.  While some
- * peer knows of a higher version nothing is proved: that document must be
- * taken first, and the answers judged by its own voter set.
+ * Returns what the answers confirm about the configuration held: nothing if
+ * some peer holds a higher version.  That document must be adopted first, and
+ * the answers counted by its own voter sets.
  */
 struct quo_proof
 quo_round(const struct quo *quo, const struct cfg *held, int64_t now_ms)
@@ -231,13 +245,14 @@
 
 	if (held == NULL)
 		return none;
-	g_hash_table_iter_init(&iter, quo->known);
+	g_hash_table_iter_init(&iter, quo->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		if (((struct known *)value)->held > cfg_version(held))
+		if (((struct entry_state *)value)->highest_version >
+		    cfg_version(held))
 			return none;
 	}
-	store = store_proof(quo, now_ms);
-	voters = voter_proof(quo, held, now_ms);
+	store = confirm_by_store(quo, now_ms);
+	voters = confirm_by_voters(quo, held, now_ms);
 	if (voters.confirmed &&
 	    (!store.confirmed || voters.as_of_ms > store.as_of_ms))
 		return voters;
@@ -259,9 +274,9 @@
 }
 
 /*
- * See the header.  A voter that has ended can't answer a round, so a majority
- * of holders and ended voters meets every majority that could still answer.
- * A set without voters allows no round at all and needs no holder.
+ * A voter that has ended can't answer, so a majority of holders and ended
+ * voters shares a voter with every majority that could still confirm an older
+ * version.  A set without voters can't confirm anything, so it needs no holder.
  */
 bool
 quo_accepted(const struct quo *quo, const struct cfg *cfg, uint64_t version,
@@ -276,11 +291,12 @@
 		voters = cfg_voters(cfg, set, &n);
 		holding = 0;
 		for (i = 0; i < n; i++) {
-			const struct known *known = g_hash_table_lookup(
-			    quo->known, &voters[i].incarnation);
+			const struct entry_state *state = g_hash_table_lookup(
+			    quo->entries, &voters[i].incarnation);
 
 			if (voters[i].ended ||
-			    (known != NULL && known->held >= version))
+			    (state != NULL &&
+				state->highest_version >= version))
 				holding++;
 			else
 				add_missing(
--- a/src/version/quorum.h
+++ b/src/version/quorum.h
@@ -8,33 +8,34 @@
 #include "config.h"
 
 /*
- * Voter sets, majorities, outage rounds and acceptance.  Holds the newest
- * answer of each entry; no sockets and no clock.  Times are CLOCK_BOOTTIME
- * milliseconds of this process.
+ * Decides from the answers of entries whether the configuration held is still
+ * the newest accepted one, and whether a version is accepted by majorities of
+ * its voter sets.  Keeps the newest answer of each entry; does no I/O and reads
+ * no clock. Times are CLOCK_BOOTTIME milliseconds of this process.
  */
 struct quo;
 
-/* What an entry answered about itself. */
+/* The status that an entry reported about itself. */
 struct quo_answer {
 	uint64_t incarnation;
-	uint64_t version;     /* configuration that it holds */
+	uint64_t version;     /* of the configuration held */
 	int64_t store_age_ms; /* since its last store read, -1: never */
-	bool vouches;	      /* quo_vouches() at that entry */
-	int64_t as_of_ms;     /* when the question was sent */
+	bool vouches;	      /* its answers count as votes */
+	int64_t as_of_ms;     /* when the request was sent */
 };
 
 struct quo *quo_new(int64_t freshness_ms);
 void quo_free(struct quo *quo);
-/* A peer's document, when newer, must go to fresh_take() before this. */
+/* If the peer sent a newer document, call fresh_take() with it first. */
 void quo_answer(
     struct quo *quo, const struct quo_answer *answer, int64_t now_ms);
-/* The answer of this process itself; its as_of_ms is now. */
+/* Records the status of this process; its as_of_ms is the current time. */
 void quo_self(struct quo *quo, const struct quo_answer *answer);
 
-/* Whether an entry may answer as a voter: its own document lists it. */
+/* True if the document lists the entry as a voter that has not ended. */
 bool quo_vouches(const struct cfg *held, uint64_t incarnation);
 
-/* What the latest answers prove; as_of_ms is at most freshness_ms ago. */
+/* What the latest answers confirm; as_of_ms is at most freshness_ms ago. */
 struct quo_proof {
 	bool confirmed;
 	uint64_t version; /* arguments for fresh_confirm() */
@@ -45,10 +46,10 @@
     const struct quo *quo, const struct cfg *held, int64_t now_ms);
 
 /*
- * Whether a version is accepted as far as is known.  cfg is a document of
- * that version or a later one; every one of its voter sets must have a
- * majority that holds at least the version or has ended.  Writes the voters
- * that are not known to hold it to missing, which has room for max.
+ * Returns true if the version is known to be accepted: in each voter set of
+ * cfg, a document of that version or a later one, a majority of the voters
+ * holds at least the version or has ended.  Writes up to max voters that are
+ * not known to hold the version to missing.
  */
 bool quo_accepted(const struct quo *quo, const struct cfg *cfg,
     uint64_t version, struct cfg_voter *missing, size_t max, size_t *n_missing);
--- a/src/version/reader.c
+++ b/src/version/reader.c
@@ -16,18 +16,21 @@
 	bool busy;
 	int64_t sent_ms;
 	bool answered;
-	int64_t answered_sent_ms;
+	int64_t last_answered_sent_ms;
 	int64_t mod_revision;
 	struct cfg *cfg;
 	GArray *waiting; /* struct waiter, for the read in progress */
-	GArray *next;	 /* struct waiter, for the one after it */
+	GArray *next;	 /* struct waiter, for the read after it */
 };
 
 static void start_read(struct rdr *rdr);
 
-/* Takes over a document; false when it must not be used. */
+/*
+ * Adopts a changed document.  Returns false if it is malformed or its version
+ * is not higher.
+ */
 static bool
-take_document(
+adopt_document(
     struct rdr *rdr, const struct store_value *value, struct status *st)
 {
 	struct cfg *cfg = cfg_parse(value->data, value->len, st);
@@ -53,14 +56,14 @@
 handle_values(struct rdr *rdr, const struct store_value *values, size_t n,
     size_t total, struct status *st)
 {
-	if (n > 0 && !take_document(rdr, &values[0], st))
+	if (n > 0 && !adopt_document(rdr, &values[0], st))
 		return false;
 	if (total == 0 && n == 0 && rdr->cfg != NULL) {
 		st_set(st, ST_INVALID, "the store lost the configuration");
 		return false;
 	}
 	rdr->answered = true;
-	rdr->answered_sent_ms = rdr->sent_ms;
+	rdr->last_answered_sent_ms = rdr->sent_ms;
 	if (rdr->cfg != NULL)
 		fresh_confirm(rdr->fresh, cfg_version(rdr->cfg), rdr->sent_ms);
 	return true;
@@ -95,7 +98,10 @@
 start_read(struct rdr *rdr)
 {
 	rdr->busy = true;
-	/* The age counts from here: the store may answer at any time after. */
+	/*
+	 * The store may evaluate the read at any time from here on, so the age
+	 * of the configuration counts from the send.
+	 */
 	rdr->sent_ms = clk_now_ms();
 	rdr->store->ops->read(
 	    rdr->store, STORE_CONFIG_KEY, rdr->mod_revision + 1, on_read, rdr);
@@ -111,7 +117,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Starts to poll. */
+/* Sends the first read and starts polling. */
 struct rdr *
 rdr_new(const struct rdr_options *opts)
 {
@@ -126,7 +132,7 @@
 	return rdr;
 }
 
-/* Waiters are dropped without a callback. */
+/* Drops the waiting callers without a callback. */
 void
 rdr_free(struct rdr *rdr)
 {
@@ -140,7 +146,10 @@
 	g_free(rdr);
 }
 
-/* Reads now; a read already in progress may be too old to serve. */
+/*
+ * Sends a read.  A read in progress was sent too early to answer this caller,
+ * who waits for the one after it.
+ */
 void
 rdr_read(struct rdr *rdr, rdr_done_fn fn, void *ctx)
 {
@@ -155,7 +164,7 @@
 }
 
 static void
-cancel_in(GArray *waiters, const void *ctx)
+remove_waiters(GArray *waiters, const void *ctx)
 {
 	guint i = 0;
 
@@ -170,8 +179,8 @@
 void
 rdr_cancel(struct rdr *rdr, const void *ctx)
 {
-	cancel_in(rdr->waiting, ctx);
-	cancel_in(rdr->next, ctx);
+	remove_waiters(rdr->waiting, ctx);
+	remove_waiters(rdr->next, ctx);
 }
 
 int64_t
@@ -186,12 +195,16 @@
 	return rdr->cfg;
 }
 
-/* Counts only reads that left no doubt about the document. */
+/*
+ * Counts only reads that confirmed the document: not those that found it
+ * missing, malformed or older.
+ */
 int64_t
 rdr_store_age_ms(const struct rdr *rdr, int64_t now_ms)
 {
 	if (!rdr->answered)
 		return -1;
-	return now_ms > rdr->answered_sent_ms ? now_ms - rdr->answered_sent_ms
-					      : 0;
+	return now_ms > rdr->last_answered_sent_ms
+		   ? now_ms - rdr->last_answered_sent_ms
+		   : 0;
 }
--- a/src/version/routes.c
+++ b/src/version/routes.c
@@ -6,7 +6,7 @@
 struct rts {
 	int refs;
 	struct rts_options opts;
-	GHashTable *by_host; /* lower case host to GPtrArray of queues */
+	GHashTable *by_host; /* lower-case host -> GPtrArray of queues */
 };
 
 void
@@ -33,7 +33,7 @@
 	g_ptr_array_add(same, queue);
 }
 
-/* Makes a version with one reference. */
+/* Returns a table with one reference. */
 struct rts *
 rts_new(const struct rts_options *opts)
 {
@@ -56,7 +56,7 @@
 	return rts;
 }
 
-/* Drops a reference; NULL is allowed. */
+/* NULL is allowed. */
 void
 rts_unref(struct rts *rts)
 {
--- a/src/version/routes.h
+++ b/src/version/routes.h
@@ -6,8 +6,9 @@
 #include <stdint.h>
 
 /*
- * One version of the operators' configuration: which queue a request belongs
- * to and which service runs its tasks.  Immutable and reference counted.
+ * Routing table of one version of the operators' configuration: it maps a
+ * request to its queue, and a queue to the service that runs its tasks.
+ * Immutable and reference counted.
  */
 struct rts;
 
@@ -16,18 +17,23 @@
 	char *host;
 	char *prefix;
 	char *service;
-	uint32_t priority;     /* 0 first */
-	uint32_t max_attempts; /* failed runs of a task; at least 1 */
-	double stretch;	       /* objective over the job's chain */
-	int64_t target_ms;     /* and this much more */
-	bool advised;	       /* only an outside service knows its workers */
+	uint32_t priority; /* 0 is the most urgent */
+	/* failed attempts after which a task fails, >= 1 */
+	uint32_t max_attempts;
+	/*
+	 * A job should complete within stretch * expected time of its longest
+	 * chain of steps + target_ms.
+	 */
+	double stretch;
+	int64_t target_ms;
+	bool advised; /* an external service assigns its workers */
 };
 
 struct rts_options {
 	int64_t version;
-	struct rts_queue *queues; /* array and contents are taken over */
+	struct rts_queue *queues; /* takes ownership of array and contents */
 	size_t n_queues;
-	uint64_t max_body_bytes; /* 0: none given */
+	uint64_t max_body_bytes; /* 0: not set */
 };
 
 struct rts *rts_new(const struct rts_options *opts);
@@ -38,8 +44,8 @@
 uint64_t rts_max_body_bytes(const struct rts *rts);
 size_t rts_n_queues(const struct rts *rts);
 /*
- * The queue with this host and the longest prefix of the path, or NULL.  A
- * port in host is ignored.
+ * Returns the queue with this host and the longest matching path prefix, or
+ * NULL.  A port in host is ignored.
  */
 const struct rts_queue *rts_find(
     const struct rts *rts, const char *host, const char *path);
--- a/src/version/store.h
+++ b/src/version/store.h
@@ -8,13 +8,14 @@
 #include "process/status.h"
 
 /*
- * Interface of the platform's key-value store.  Every call is asynchronous
- * and runs its callback exactly once from the main loop, unless it was
- * cancelled.  Status codes: ST_OK; ST_UNAVAILABLE or ST_TIMEOUT for a read
- * without an answer; ST_UNAVAILABLE for a write that can't have taken effect;
- * ST_UNKNOWN for a write that may or may not have taken effect; ST_CONFLICT
- * for a lost compare-and-swap; ST_NOT_FOUND when the lease has gone, also for
- * a put under it.
+ * Interface to the key-value store that holds the configuration and the
+ * registrations of entries.  Every call is asynchronous and runs its callback
+ * exactly once from the main loop, unless it was cancelled.  Status codes:
+ * ST_OK; ST_UNAVAILABLE or ST_TIMEOUT for a read without an answer;
+ * ST_UNAVAILABLE for a write that can't have taken effect; ST_UNKNOWN for a
+ * write that may or may not have taken effect; ST_CONFLICT for a
+ * compare-and-swap whose mod revision does not match; ST_NOT_FOUND for a call
+ * with a lease that no longer exists.
  */
 struct store;
 
@@ -26,10 +27,10 @@
 	int64_t mod_revision;
 };
 
-/* total counts the keys that exist, with those left out as unchanged. */
+/* total: number of matching keys, including those left out as unchanged. */
 typedef void (*store_read_fn)(const struct status *st,
     const struct store_value *values, size_t n, size_t total, void *ctx);
-/* mod_revision is that of the key after the write. */
+/* mod_revision: that of the key after the write. */
 typedef void (*store_write_fn)(
     const struct status *st, int64_t mod_revision, void *ctx);
 typedef void (*store_lease_fn)(
@@ -42,9 +43,12 @@
 	    int64_t min_mod_revision, store_read_fn fn, void *ctx);
 	void (*read_prefix)(struct store *store, const char *prefix,
 	    store_read_fn fn, void *ctx);
-	/* mod_revision 0: the key must not exist. */
-	void (*swap)(struct store *store, const char *key, int64_t mod_revision,
-	    const char *data, size_t len, store_write_fn fn, void *ctx);
+	/*
+	 * Writes the key if it has this mod revision; 0: if it does not exist.
+	 */
+	void (*compare_and_swap)(struct store *store, const char *key,
+	    int64_t mod_revision, const char *data, size_t len,
+	    store_write_fn fn, void *ctx);
 	/* lease 0: without a lease. */
 	void (*put)(struct store *store, const char *key, const char *data,
 	    size_t len, int64_t lease, store_write_fn fn, void *ctx);
@@ -56,12 +60,14 @@
 	    struct store *store, int64_t lease, store_lease_fn fn, void *ctx);
 	void (*revoke)(
 	    struct store *store, int64_t lease, store_lease_fn fn, void *ctx);
-	/* No callback with this ctx runs any more; writes sent may succeed. */
+	/*
+	 * Drops the callbacks with this ctx; writes already sent may succeed.
+	 */
 	void (*cancel)(struct store *store, const void *ctx);
 	void (*free)(struct store *store);
 };
 
-/* First member of an adapter's own struct. */
+/* Each adapter's struct starts with this as its first member. */
 struct store {
 	const struct store_ops *ops;
 };
--- a/src/version/voters.c
+++ b/src/version/voters.c
@@ -3,15 +3,16 @@
 #include "voters.h"
 
 /*
- * Tells whether a voter's process has certainly ended.  This entry listens on
- * its address, so another process that listened there has ended.
+ * Returns true if a voter's process has certainly ended: it is marked as ended,
+ * operators state it, or it listened on the address on which this entry listens
+ * now.
  */
 static bool
 has_ended(const struct vot_input *in, const struct cfg_voter *voter)
 {
 	if (voter->ended || (in->ended != 0 && voter->incarnation == in->ended))
 		return true;
-	/* Port 0 stands for any port, so several processes may share it. */
+	/* Port 0 stands for any free port; running processes may share it. */
 	return voter->incarnation != in->self->incarnation &&
 	       voter->address != NULL && voter->address[0] != '\0' &&
 	       !g_str_has_suffix(voter->address, ":0") &&
@@ -19,7 +20,7 @@
 }
 
 static const struct cfg_voter *
-voter_of(const GArray *set, const char *domain)
+find_domain_voter(const GArray *set, const char *domain)
 {
 	guint i;
 
@@ -33,9 +34,12 @@
 	return NULL;
 }
 
-/* The registration of a process that has ended stays until its lease ends. */
+/*
+ * Excludes processes that have ended: they stay registered until their lease
+ * expires.
+ */
 static bool
-may_vote(const struct vot_input *in, const struct mem_entry *entry)
+is_eligible(const struct vot_input *in, const struct mem_entry *entry)
 {
 	struct cfg_voter voter = {.failure_domain = entry->failure_domain,
 	    .incarnation = entry->incarnation,
@@ -57,9 +61,12 @@
 	return true;
 }
 
-/* Every entry picks the same candidate, so few of them write. */
+/*
+ * Picks the lowest incarnation, so that all entries choose the same candidate
+ * and few of them try to write.
+ */
 static const struct mem_entry *
-candidate_of(const struct vot_input *in, const char *domain)
+find_candidate(const struct vot_input *in, const char *domain)
 {
 	const struct mem_entry *best = NULL;
 	size_t i;
@@ -68,16 +75,16 @@
 		const struct mem_entry *entry = &in->members[i];
 
 		if (strcmp(entry->failure_domain, domain) == 0 &&
-		    may_vote(in, entry) &&
+		    is_eligible(in, entry) &&
 		    (best == NULL || entry->incarnation < best->incarnation))
 			best = entry;
 	}
 	return best;
 }
 
-/* Copies a set of base and marks the voters that have ended. */
+/* Copies a voter set of base and marks the voters that have ended. */
 static GArray *
-copy_set(const struct vot_input *in, size_t index, bool *marked)
+copy_set(const struct vot_input *in, size_t index, bool *marks_ended)
 {
 	GArray *set = g_array_new(FALSE, FALSE, sizeof(struct cfg_voter));
 	const struct cfg_voter *voters;
@@ -89,7 +96,7 @@
 
 		voter.ended = has_ended(in, &voters[i]);
 		if (voter.ended && !voters[i].ended)
-			*marked = true;
+			*marks_ended = true;
 		g_array_append_val(set, voter);
 	}
 	return set;
@@ -103,8 +110,8 @@
 
 	for (i = 0; i < in->n_domains; i++) {
 		const char *domain = in->domains[i].name;
-		const struct cfg_voter *old = voter_of(last, domain);
-		const struct mem_entry *candidate = candidate_of(in, domain);
+		const struct cfg_voter *old = find_domain_voter(last, domain);
+		const struct mem_entry *candidate = find_candidate(in, domain);
 		struct cfg_voter voter = {.failure_domain = domain};
 
 		if (!in->domains[i].entries)
@@ -112,7 +119,7 @@
 		if (old != NULL &&
 		    (candidate == NULL ||
 			(!old->ended &&
-			    !in->is_gone(old->incarnation, in->ctx)))) {
+			    !in->is_deregistered(old->incarnation, in->ctx)))) {
 			g_array_append_val(set, *old);
 		} else if (candidate != NULL) {
 			voter.incarnation = candidate->incarnation;
@@ -136,7 +143,10 @@
 	return false;
 }
 
-/* A domain has one voter, so equal sizes and inclusion mean equality. */
+/*
+ * Each failure domain has at most one voter in a set, so two sets of equal size
+ * are the same if one includes the other.
+ */
 static bool
 same_voters(const GArray *a, const GArray *b)
 {
@@ -158,7 +168,9 @@
 	guint i;
 
 	for (i = 0; i < sets->len; i++) {
-		/* The newest of equal sets stays, as the last one matters. */
+		/*
+		 * Keep the newer of equal sets: quo_round() uses the last one.
+		 */
 		if (same_voters(g_ptr_array_index(sets, i), set)) {
 			g_ptr_array_remove_index(sets, i);
 			break;
@@ -168,9 +180,9 @@
 }
 
 /*
- * Computes the voter sets.  The last set of base stays, and all earlier ones
- * unless base is known to be accepted: each of them may still be the set by
- * which a process without the store judges its round.
+ * Computes the voter sets of the document after base.  They include the last
+ * set of base, and also its earlier sets unless base is known to be accepted:
+ * an entry that can't reach the store may still count votes by any of them.
  */
 void
 vot_next(const struct vot_input *in, struct vot_sets *out)
@@ -183,13 +195,13 @@
 	out->sets =
 	    g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
 	for (; i < n; i++) {
-		last = copy_set(in, i, &out->marked);
+		last = copy_set(in, i, &out->marks_ended);
 		add_set(out->sets, last);
 	}
 	next = next_set(in, last);
 	out->replaced = last == NULL || !same_voters(last, next);
-	out->names_self = contains(next, in->self->incarnation) &&
-			  !contains(last, in->self->incarnation);
+	out->adds_self = contains(next, in->self->incarnation) &&
+			 !contains(last, in->self->incarnation);
 	if (out->replaced)
 		add_set(out->sets, next);
 	else
--- a/src/version/voters.h
+++ b/src/version/voters.h
@@ -6,28 +6,32 @@
 #include "config.h"
 #include "members.h"
 
-/* Voter sets of the document that follows another one; pure. */
+/*
+ * Computes the voter sets of the document that follows another one; uses
+ * nothing but its input.
+ */
 
-typedef bool (*vot_is_gone_fn)(uint64_t incarnation, void *ctx);
+typedef bool (*vot_is_deregistered_fn)(uint64_t incarnation, void *ctx);
 
 struct vot_input {
 	const struct cfg *base; /* NULL: the first document */
 	bool base_accepted;
-	const struct cfg_domain *domains; /* of the text to come */
+	const struct cfg_domain *domains; /* of the next document's text */
 	size_t n_domains;
 	const struct mem_entry *members; /* registered entries */
 	size_t n_members;
 	const struct mem_entry *self;
-	uint64_t ended;		/* incarnation declared as ended; 0: none */
-	vot_is_gone_fn is_gone; /* registration certainly gone */
+	/* incarnation that operators declare as ended; 0: none */
+	uint64_t ended;
+	vot_is_deregistered_fn is_deregistered; /* see mem_is_gone() */
 	void *ctx;
 };
 
 struct vot_sets {
-	GPtrArray *sets; /* GArray of struct cfg_voter, strings borrowed */
-	bool replaced;	 /* the last set differs from that of base */
-	bool names_self; /* this entry is new in the last set */
-	bool marked;	 /* voters are marked as ended that were not */
+	GPtrArray *sets;  /* GArray of struct cfg_voter, strings borrowed */
+	bool replaced;	  /* the last set differs from that of base */
+	bool adds_self;	  /* the last set newly contains this entry */
+	bool marks_ended; /* some voters are newly marked as ended */
 };
 
 /* Strings are borrowed from the input; vot_free() frees the result. */
--- a/tests/test_etcd.c
+++ b/tests/test_etcd.c
@@ -80,7 +80,7 @@
 	else if (strcmp(words[0], "prefix") == 0)
 		ops->read_prefix(store, key, on_read, NULL);
 	else if (strcmp(words[0], "swap") == 0)
-		ops->swap(store, key, number_of(words[2]), words[3],
+		ops->compare_and_swap(store, key, number_of(words[2]), words[3],
 		    strlen(words[3]), on_write, NULL);
 	else if (strcmp(words[0], "put") == 0)
 		ops->put(store, key, words[3], strlen(words[3]),
