--- a/tests/entry_node.h
+++ b/tests/entry_node.h
@@ -5,7 +5,7 @@
 
 #define ENTRY_NODE_FRESHNESS_MS 600
 
-/* The configuration part of one entry, without its listeners. */
+/* The modules of one entry that handle the configuration, without listeners. */
 struct entry_node {
 	struct store *store;
 	struct fresh *fresh;
@@ -14,13 +14,13 @@
 	struct quo *quo;
 	struct chg *chg;
 	struct mem_entry self;
-	bool cut; /* from its peers */
+	bool cut; /* cut off from its peers */
 	char address[32];
 };
 
 void entry_node_start(struct entry_node *node, const char *store_url,
     uint64_t incarnation, const char *domain, int port);
-/* Ends without leaving, as a killed process does. */
+/* Frees the node without deregistering it, as if its process was killed. */
 void entry_node_kill(struct entry_node *node);
 
 #endif
--- a/tests/standin_store.c
+++ b/tests/standin_store.c
@@ -1,6 +1,6 @@
 /*
- * Stand-in for the platform's store: the part of the etcd v3 JSON gateway
- * that the system uses, in one process and in memory, with faults on demand.
+ * In-memory stand-in for etcd: the part of its v3 JSON gateway that the entries
+ * use, with faults on request.
  *
  *   standin_store [--port N] [--control-port N]
  *
@@ -8,8 +8,8 @@
  * routes (POST, on the control port):
  *   /control/outage?mode=off|refuse|hang
  *   /control/slow?ms=N
- *   /control/drop?writes=N	closes the connection after the write
- *   /control/expire		expires all leases now
+ *   /control/drop?writes=N	executes the next N writes without a reply
+ *   /control/expire		removes all leases now
  *   GET /control/counts	calls by kind as JSON
  */
 #include <glib.h>
@@ -20,7 +20,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EXPIRE_CHECK_MS 100
+#define EXPIRY_CHECK_PERIOD_MS 100
 
 struct item {
 	char *data;
@@ -42,7 +42,7 @@
 static GHashTable *leases; /* id -> struct lease */
 static int64_t revision = 1;
 static int64_t next_lease = 1000;
-static bool hang, refuse;
+static bool hang_requests, refuse_connections;
 static int64_t slow_ms, drop_writes;
 static GPtrArray *hanging;
 static int64_t n_range, n_prefix, n_txn, n_put, n_delete, n_grant, n_keepalive,
@@ -58,7 +58,7 @@
 }
 
 static int64_t
-int_at(struct json_object *object, const char *key)
+get_int(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -68,7 +68,7 @@
 }
 
 static char *
-bytes_at(struct json_object *object, const char *key, gsize *len)
+get_bytes(struct json_object *object, const char *key, gsize *len)
 {
 	struct json_object *value;
 	char *text, *data;
@@ -84,7 +84,7 @@
 	return text;
 }
 
-/* The gateway writes 64-bit integers as strings and leaves out zeros. */
+/* The gateway writes 64-bit integers as strings and omits zeros. */
 static void
 add_int(struct json_object *object, const char *key, int64_t n)
 {
@@ -156,10 +156,10 @@
 {
 	struct json_object *reply = reply_new();
 	gsize len;
-	char *key = bytes_at(body, "key", &len);
-	char *end = bytes_at(body, "range_end", &len);
+	char *key = get_bytes(body, "key", &len);
+	char *end = get_bytes(body, "range_end", &len);
 	struct range range = {key != NULL ? key : "", end,
-	    int_at(body, "min_mod_revision"), 0, json_object_new_array()};
+	    get_int(body, "min_mod_revision"), 0, json_object_new_array()};
 
 	if (end != NULL)
 		n_prefix++;
@@ -177,9 +177,9 @@
 put(struct json_object *body)
 {
 	gsize key_len, len;
-	char *key = bytes_at(body, "key", &key_len);
-	char *data = bytes_at(body, "value", &len);
-	int64_t lease = int_at(body, "lease");
+	char *key = get_bytes(body, "key", &key_len);
+	char *data = get_bytes(body, "value", &len);
+	int64_t lease = get_int(body, "lease");
 	struct item *old, *item;
 
 	if (key == NULL ||
@@ -206,7 +206,7 @@
 {
 	struct json_object *target = NULL;
 	gsize len;
-	char *key = bytes_at(compare, "key", &len);
+	char *key = get_bytes(compare, "key", &len);
 	struct item *item = key == NULL ? NULL : g_tree_lookup(items, key);
 	const char *name;
 
@@ -214,9 +214,10 @@
 	json_object_object_get_ex(compare, "target", &target);
 	name = json_object_get_string(target);
 	if (name != NULL && strcmp(name, "MOD") == 0)
-		return int_at(compare, "mod_revision") ==
+		return get_int(compare, "mod_revision") ==
 		       (item == NULL ? 0 : item->mod_revision);
-	return int_at(compare, "version") == (item == NULL ? 0 : item->version);
+	return get_int(compare, "version") ==
+	       (item == NULL ? 0 : item->version);
 }
 
 static struct json_object *
@@ -261,7 +262,7 @@
 {
 	struct json_object *reply;
 	gsize len;
-	char *key = bytes_at(body, "key", &len);
+	char *key = get_bytes(body, "key", &len);
 
 	n_delete++;
 	revision++;
@@ -280,7 +281,7 @@
 	int64_t id = next_lease++;
 
 	n_grant++;
-	lease->ttl_s = int_at(body, "TTL");
+	lease->ttl_s = get_int(body, "TTL");
 	lease->expires_us =
 	    g_get_monotonic_time() + lease->ttl_s * G_USEC_PER_SEC;
 	g_hash_table_insert(leases, g_memdup2(&id, sizeof(id)), lease);
@@ -294,7 +295,7 @@
 {
 	struct json_object *reply = json_object_new_object();
 	struct json_object *result = reply_new();
-	int64_t id = int_at(body, "ID");
+	int64_t id = get_int(body, "ID");
 	struct lease *lease = g_hash_table_lookup(leases, &id);
 
 	n_keepalive++;
@@ -309,7 +310,7 @@
 }
 
 static gboolean
-collect_leased(gpointer key, gpointer value, gpointer ctx)
+collect_unleased(gpointer key, gpointer value, gpointer ctx)
 {
 	struct item *item = value;
 
@@ -319,12 +320,12 @@
 }
 
 static void
-remove_orphans(void)
+remove_unleased_items(void)
 {
 	GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
-	g_tree_foreach(items, collect_leased, keys);
+	g_tree_foreach(items, collect_unleased, keys);
 	if (keys->len > 0)
 		revision++;
 	for (i = 0; i < keys->len; i++)
@@ -335,12 +336,12 @@
 static struct json_object *
 do_revoke(struct json_object *body)
 {
-	int64_t id = int_at(body, "ID");
+	int64_t id = get_int(body, "ID");
 
 	n_revoke++;
 	if (!g_hash_table_remove(leases, &id))
 		return NULL;
-	remove_orphans();
+	remove_unleased_items();
 	return reply_new();
 }
 
@@ -357,7 +358,7 @@
 {
 	(void)ctx;
 	if (g_hash_table_foreach_remove(leases, is_expired, NULL) > 0)
-		remove_orphans();
+		remove_unleased_items();
 	return G_SOURCE_CONTINUE;
 }
 
@@ -416,7 +417,7 @@
 {
 	struct delayed *delayed = ctx;
 
-	if (!hang && !refuse)
+	if (!hang_requests && !refuse_connections)
 		answer(delayed->msg, delayed->route);
 	soup_server_message_unpause(delayed->msg);
 	g_object_unref(delayed->msg);
@@ -440,7 +441,7 @@
 	}
 	if (i == G_N_ELEMENTS(routes)) {
 		soup_server_message_set_status(msg, 404, NULL);
-	} else if (hang) {
+	} else if (hang_requests) {
 		soup_server_message_pause(msg);
 		g_ptr_array_add(hanging, g_object_ref(msg));
 	} else if (slow_ms > 0) {
@@ -477,7 +478,10 @@
 {
 	guint i;
 
-	/* What hung is never executed: its connection is closed. */
+	/*
+	 * Requests that were left hanging are not executed: their connections
+	 * are closed.
+	 */
 	for (i = 0; i < hanging->len; i++) {
 		SoupServerMessage *msg = g_ptr_array_index(hanging, i);
 		GSocket *socket = soup_server_message_get_socket(msg);
@@ -495,14 +499,14 @@
 {
 	bool refuse_now = strcmp(mode, "refuse") == 0;
 
-	hang = strcmp(mode, "hang") == 0;
-	if (!hang)
+	hang_requests = strcmp(mode, "hang") == 0;
+	if (!hang_requests)
 		release_hanging();
-	if (refuse_now && !refuse)
+	if (refuse_now && !refuse_connections)
 		soup_server_disconnect(server);
-	if (!refuse_now && refuse)
+	if (!refuse_now && refuse_connections)
 		listen_on(server, port);
-	refuse = refuse_now;
+	refuse_connections = refuse_now;
 }
 
 static char *
@@ -541,7 +545,7 @@
 		    g_ascii_strtoll(param(query, "writes", "0"), NULL, 10);
 	} else if (strcmp(path, "/control/expire") == 0) {
 		g_hash_table_remove_all(leases);
-		remove_orphans();
+		remove_unleased_items();
 	} else if (strcmp(path, "/control/counts") == 0) {
 		text = counts();
 	} else {
@@ -593,7 +597,7 @@
 	printf("port %u control %u\n", port,
 	    listen_on(control, (guint)control_port));
 	fflush(stdout);
-	g_timeout_add(EXPIRE_CHECK_MS, on_expire_timer, NULL);
+	g_timeout_add(EXPIRY_CHECK_PERIOD_MS, on_expire_timer, NULL);
 	g_main_loop_run(g_main_loop_new(NULL, FALSE));
 	return 0;
 }
--- a/tests/store_process.c
+++ b/tests/store_process.c
@@ -6,7 +6,7 @@
 
 static const char *control_url;
 
-/* Starts the stand-in and waits until it serves. */
+/* Starts the stand-in and waits until it answers. */
 const char *
 store_process_start(void)
 {
@@ -44,7 +44,7 @@
 	return etcd_new(&opts);
 }
 
-/* Frees the client, lets its last calls end, and ends the stand-in. */
+/* Frees the client, lets its last calls end, and stops the stand-in. */
 void
 store_process_close(struct store *store)
 {
--- a/tests/test_change.c
+++ b/tests/test_change.c
@@ -22,7 +22,8 @@
 static const char *store_url;
 static struct entry_node nodes[N_NODES];
 static guint exchange_timer;
-static uint64_t made, kept; /* version of the last change, and of "keep" */
+/* version of the last change, and the one saved by "keep" */
+static uint64_t last_version, kept_version;
 static int64_t marked_ms;
 
 static const char text[] =
@@ -31,9 +32,12 @@
     "{\"name\": \"d3\", \"entries\": true}],"
     "\"services\": [{\"name\": \"club-desk\"}]}";
 
-/* Stands for PEER_STATUS: every pair that is not cut off asks each other. */
+/*
+ * Replaces the PEER_STATUS calls: each entry gets the answers of all others,
+ * unless one of the two is cut off from its peers.
+ */
 static gboolean
-exchange(gpointer ctx)
+exchange_statuses(gpointer ctx)
 {
 	int i, j;
 
@@ -67,27 +71,28 @@
 }
 
 static struct outcome
-await(struct outcome *outcome)
+await_outcome(struct outcome *outcome)
 {
 	ck_assert(hn_wait_until(outcome->done, 8000));
-	made = outcome->version;
+	last_version = outcome->version;
 	return *outcome;
 }
 
 static void
-show(struct outcome outcome, GString *actual)
+append_status(struct outcome outcome, GString *actual)
 {
 	g_string_append(actual, st_name(outcome.st.code));
 }
 
 static uint64_t
-number(const char *word)
+parse_number(const char *word)
 {
 	if (strcmp(word, "made") == 0)
-		return made;
+		return last_version;
 	if (strcmp(word, "kept+2") == 0)
-		return kept + 2;
-	return strcmp(word, "kept") == 0 ? kept : strtoull(word, NULL, 0);
+		return kept_version + 2;
+	return strcmp(word, "kept") == 0 ? kept_version
+					 : strtoull(word, NULL, 0);
 }
 
 static enum chg_state
@@ -114,11 +119,11 @@
 }
 
 static void
-reach(char **words, GString *actual)
+await_state(char **words, GString *actual)
 {
 	enum chg_state state = CHG_UNSEEN;
 	int node = atoi(words[1]);
-	uint64_t version = number(words[2]);
+	uint64_t version = parse_number(words[2]);
 
 	while (strcmp(chg_state_name(state), words[3]) != 0)
 		state++;
@@ -129,13 +134,13 @@
 }
 
 static void
-voter(char **words, GString *actual)
+await_voter(char **words, GString *actual)
 {
 	bool ended;
 	size_t n;
 
 	if (!hn_wait_until(
-		has_voter(number(words[1]), &ended, &n), atoi(words[2])))
+		has_voter(parse_number(words[1]), &ended, &n), atoi(words[2])))
 		g_string_append(actual, "no");
 	else
 		g_string_append_printf(
@@ -153,7 +158,7 @@
 	for (i = 0; i < 3; i++)
 		entry_node_start(&nodes[i], store_url, 0x11 + i,
 		    hn_str("d%d", i + 1), 7001 + i);
-	exchange_timer = g_timeout_add(20, exchange, NULL);
+	exchange_timer = g_timeout_add(20, exchange_statuses, NULL);
 	ck_assert(hn_wait_until((mem_list(nodes[0].mem, &n), n == 3), 3000));
 	return nodes;
 }
@@ -171,9 +176,12 @@
 	hn_finish();
 }
 
-/* Changes at one entry; false for another command. */
+/*
+ * Runs a command that changes the configuration at one entry; returns false if
+ * it is another command.
+ */
 static bool
-change(char **words, GString *actual)
+run_change_command(char **words, GString *actual)
 {
 	struct chg *chg = words[1] != NULL && g_ascii_isdigit(*words[1])
 			      ? nodes[atoi(words[1]) % N_NODES].chg
@@ -181,22 +189,26 @@
 	struct outcome outcome = {0};
 
 	if (strcmp(words[0], "apply") == 0)
-		chg_apply(
-		    chg, number(words[2]), words[3], text, on_done, &outcome);
+		chg_apply(chg, parse_number(words[2]), words[3], text, on_done,
+		    &outcome);
 	else if (strcmp(words[0], "out") == 0 || strcmp(words[0], "in") == 0)
 		chg_out(chg, CFG_FAILURE_DOMAIN, words[2],
 		    strcmp(words[0], "out") == 0, words[3], on_done, &outcome);
 	else if (strcmp(words[0], "ended") == 0)
-		chg_ended(chg, number(words[2]), words[3], on_done, &outcome);
+		chg_ended(
+		    chg, parse_number(words[2]), words[3], on_done, &outcome);
 	else
 		return false;
-	show(await(&outcome), actual);
+	append_status(await_outcome(&outcome), actual);
 	return true;
 }
 
-/* What an entry knows; false for another command. */
+/*
+ * Runs a command that queries the state of an entry; returns false if it is
+ * another command.
+ */
 static bool
-look(char **words, GString *actual)
+run_query_command(char **words, GString *actual)
 {
 	struct entry_node *node =
 	    &nodes[words[1] == NULL ? 0 : atoi(words[1]) % N_NODES];
@@ -205,7 +217,7 @@
 	if (strcmp(words[0], "state") == 0)
 		g_string_append(actual,
 		    chg_state_name(
-			state_of((int)(node - nodes), number(words[2]))));
+			state_of((int)(node - nodes), parse_number(words[2]))));
 	else if (strcmp(words[0], "holds") == 0)
 		g_string_append_printf(
 		    actual, "%d", (int)fresh_version(node->fresh));
@@ -226,21 +238,22 @@
 step(void *ctx, char **words, GString *actual)
 {
 	(void)ctx;
-	if (change(words, actual) || look(words, actual))
+	if (run_change_command(words, actual) ||
+	    run_query_command(words, actual))
 		return;
 	if (strcmp(words[0], "made") == 0)
-		g_string_append_printf(actual, "%d", (int)made);
+		g_string_append_printf(actual, "%d", (int)last_version);
 	else if (strcmp(words[0], "keep") == 0)
-		kept = made;
+		kept_version = last_version;
 	else if (strcmp(words[0], "reach") == 0)
-		reach(words, actual);
+		await_state(words, actual);
 	else if (strcmp(words[0], "voter") == 0)
-		voter(words, actual);
+		await_voter(words, actual);
 	else if (strcmp(words[0], "kill") == 0)
 		entry_node_kill(&nodes[atoi(words[1])]);
 	else if (strcmp(words[0], "start") == 0)
 		entry_node_start(&nodes[atoi(words[1])], store_url,
-		    number(words[2]), g_intern_string(words[3]),
+		    parse_number(words[2]), g_intern_string(words[3]),
 		    atoi(words[4]));
 	else if (strcmp(words[0], "cut") == 0)
 		nodes[atoi(words[1])].cut = true;
@@ -258,22 +271,24 @@
 		ck_abort_msg("command %s", words[0]);
 }
 
-/* Operators at different entries must not undo each other's marks, and none
- * may be lost to a race. */
-START_TEST(concurrent_outs_all_win)
+/*
+ * Guards against concurrent changes at different entries that overwrite each
+ * other, or that fail because their writes conflict.
+ */
+START_TEST(concurrent_changes_all_succeed)
 {
 	struct outcome outcomes[9] = {0}, first = {0};
 	int i;
 
 	start();
 	chg_apply(nodes[0].chg, 0, "c1", text, on_done, &first);
-	ck_assert_int_eq(await(&first).st.code, ST_OK);
+	ck_assert_int_eq(await_outcome(&first).st.code, ST_OK);
 	for (i = 0; i < 9; i++)
 		chg_out(nodes[i % 3].chg, CFG_WORKER, hn_str("w%d", i), true,
 		    hn_str("o%d", i), on_done, &outcomes[i]);
 	for (i = 0; i < 9; i++)
-		ck_assert_msg(await(&outcomes[i]).st.code == ST_OK, "%s",
-		    outcomes[i].st.message);
+		ck_assert_msg(await_outcome(&outcomes[i]).st.code == ST_OK,
+		    "%s", outcomes[i].st.message);
 	ck_assert(hn_wait_until(state_of(0, 10) >= CHG_ACCEPTED, 2000));
 	for (i = 0; i < 9; i++)
 		ck_assert(cfg_is_out(fresh_config(nodes[0].fresh), CFG_WORKER,
@@ -282,15 +297,18 @@
 }
 END_TEST
 
-/* An outage must not interrupt work: the age may never pass the limit. */
-START_TEST(outage_starts_without_a_gap)
+/*
+ * Guards against a gap at the start of a store outage, until the answers of
+ * peers confirm the configuration: its age must stay below the limit.
+ */
+START_TEST(outage_start_leaves_no_confirmation_gap)
 {
 	struct outcome outcome = {0};
 	int i;
 
 	start();
 	chg_apply(nodes[0].chg, 0, "c1", text, on_done, &outcome);
-	ck_assert_int_eq(await(&outcome).st.code, ST_OK);
+	ck_assert_int_eq(await_outcome(&outcome).st.code, ST_OK);
 	ck_assert(hn_wait_until(state_of(0, 1) >= CHG_IN_FORCE, 3000));
 	store_process_control("outage?mode=hang");
 	for (i = 0; i < 150; i++) {
@@ -302,6 +320,5 @@
 }
 END_TEST
 
-/* Each case says which failure it guards against. */
-REPLAY_MAIN("change", 0, start, end, step, concurrent_outs_all_win,
-    outage_starts_without_a_gap)
+REPLAY_MAIN("change", 0, start, end, step, concurrent_changes_all_succeed,
+    outage_start_leaves_no_confirmation_gap)
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -14,7 +14,10 @@
     " \"teams\": [{\"name\": \"t1\", \"max_in_flight\": 7}],\n"
     " \"limits\": {\"max_queue\": 9, \"max_cores\": 2}}";
 
-/* A bad operators' text must be refused with a message that locates it. */
+/*
+ * Guards against an invalid operators' text that is accepted, or refused
+ * without the place of the error.
+ */
 static char *
 check_text(const char *name, const char *input)
 {
@@ -26,7 +29,7 @@
 }
 
 static struct cfg *
-make(const struct cfg_out *outs, size_t n_outs)
+make_config(const struct cfg_out *outs, size_t n_outs)
 {
 	struct cfg_voter voters[] = {
 	    {.failure_domain = "puget", .incarnation = 0xfedcba9876543210}};
@@ -47,11 +50,11 @@
 	return cfg;
 }
 
-/* Everything written to a document must be read back. */
+/* Guards against a part of a document that is not written or not read back. */
 START_TEST(document_round_trip)
 {
 	struct cfg_out out = {CFG_WORKER, "w7"};
-	struct cfg *cfg = make(&out, 1);
+	struct cfg *cfg = make_config(&out, 1);
 	const struct cfg_service *service = cfg_service(cfg, "club-desk");
 	size_t n;
 
@@ -79,26 +82,29 @@
 	return g_strv_contains(ctx, service);
 }
 
-/* A request must be refused when any dependency, however far, is missing. */
+/*
+ * Guards against starting a task while a direct or indirect dependency of its
+ * service is out of service or not live.
+ */
 START_TEST(blocked_by_dependencies)
 {
 	const char *ledger[] = {"ledger", NULL}, *none[] = {NULL};
 	struct cfg_out out = {CFG_SERVICE, "bank"};
-	struct cfg *cfg = make(NULL, 0);
+	struct cfg *cfg = make_config(NULL, 0);
 
 	ck_assert_ptr_null(cfg_blocked_by(cfg, "club-desk", is_live, ledger));
 	ck_assert_str_eq(
 	    cfg_blocked_by(cfg, "club-desk", is_live, none), "ledger");
 	cfg_unref(cfg);
-	cfg = make(&out, 1);
+	cfg = make_config(&out, 1);
 	ck_assert_str_eq(
 	    cfg_blocked_by(cfg, "club-desk", is_live, ledger), "bank");
 	cfg_unref(cfg);
 }
 END_TEST
 
-/* A document of another origin must be refused, not half understood. */
-START_TEST(bad_documents)
+/* Guards against adopting parts of a malformed document. */
+START_TEST(malformed_documents)
 {
 	const char *bad[] = {"", "{}", "[]",
 	    "{\"version\": 0, \"change_id\": \"\", \"text\": \"\", "
@@ -117,4 +123,4 @@
 END_TEST
 
 CASES_MAIN("config", check_text, document_round_trip, blocked_by_dependencies,
-    bad_documents)
+    malformed_documents)
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -1,7 +1,7 @@
 /*
- * Guarantees 3 and 9: no task starts in a failure domain more than 5 s after
- * it was taken out, and an accepted configuration is in force everywhere
- * within seconds and never reverts.
+ * Guarantees 3 and 9: no task starts in a failure domain more than 5 s after it
+ * was taken out of service, and an accepted configuration is in force at all
+ * entries within seconds and never reverts.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -16,26 +16,26 @@
 	struct sys sys;
 	struct sys_load *load[3];
 	struct hn_http *change;
-	int64_t version; /* of the change */
+	int64_t version; /* created by the change */
 };
 
 typedef void (*step_fn)(struct run *run);
 
-/* Domain 0 is taken out: worker-0 is in it. */
+/* The tests take domain-0 out of service, which contains worker-0. */
 static void
-cut_agent(struct run *run)
+cut_agent_connections(struct run *run)
 {
 	sys_rule(&run->sys, 0, "action=cut&match=worker-0");
 }
 
 static void
-silence_agent(struct run *run)
+freeze_agent_connections(struct run *run)
 {
 	sys_rule(&run->sys, 0, "action=freeze&match=worker-0");
 }
 
 static void
-slow_agent(struct run *run)
+delay_agent_messages(struct run *run)
 {
 	sys_rule(
 	    &run->sys, 0, "action=delay&match=worker-0&ms=1200&direction=down");
@@ -111,20 +111,23 @@
 }
 
 static void
-cut_entry_from_store(struct run *run)
+cut_store_connection(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_store, "action=cut");
 }
 
 static void
-silence_entry_from_store(struct run *run)
+freeze_store_connection(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_store, "action=freeze");
 }
 
-/* Reads arrive late, so they must count from when they were sent. */
+/*
+ * Delays the answers to reads; the age of the configuration must count from
+ * when the reads were sent.
+ */
 static void
-slow_store(struct run *run)
+delay_store_replies(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_store,
 	    "action=delay&ms=900&direction=down");
@@ -144,26 +147,26 @@
 
 static const struct {
 	const char *name;
-	step_fn before, after, restore; /* the change; the check */
+	step_fn before, after, restore; /* the change; the check of the bound */
 	int run_ms;
 } rows[] = {
     {"short tasks", NULL, NULL, NULL, 50},
     {"tasks queued at the agent", NULL, NULL, NULL, 900},
-    {"agent cut off", cut_agent, NULL, restore_connections, 200},
-    {"agent's connections silent", silence_agent, NULL, restore_connections,
-	200},
-    {"agent far away", slow_agent, NULL, restore_connections, 200},
+    {"agent cut off", cut_agent_connections, NULL, restore_connections, 200},
+    {"agent's connections silent", freeze_agent_connections, NULL,
+	restore_connections, 200},
+    {"agent far away", delay_agent_messages, NULL, restore_connections, 200},
     {"agent paused", stop_agent, NULL, resume_agent, 900},
     {"entry paused", stop_entry, NULL, resume_entry, 900},
     {"entry and agent paused", stop_both, NULL, resume_both, 900},
     {"store down after the write", NULL, store_down, store_up, 200},
     {"store hangs after the write", NULL, store_hangs, store_up, 200},
     {"store reply lost", lose_store_reply, NULL, NULL, 200},
-    {"entry cut off from the store", cut_entry_from_store, NULL,
+    {"entry cut off from the store", cut_store_connection, NULL,
 	restore_connections, 200},
-    {"entry's store connection silent", silence_entry_from_store, NULL,
+    {"entry's store connection silent", freeze_store_connection, NULL,
 	restore_connections, 200},
-    {"entry reads late", slow_store, NULL, restore_connections, 200},
+    {"entry reads late", delay_store_replies, NULL, restore_connections, 200},
     {"entry killed before, restarted after", kill_entry, restart_entry, NULL,
 	200},
 };
@@ -205,7 +208,10 @@
 	hn_finish();
 }
 
-/* Nothing starts in the domain from the bound on, also after the repair. */
+/*
+ * Guards against task starts in a failure domain later than SYS_BOUND_MS after
+ * it was taken out of service, also after the fault was repaired.
+ */
 START_TEST(out_within_bound)
 {
 	struct run run = {0};
@@ -230,33 +236,41 @@
 	ck_assert_msg(later == at_bound,
 	    "%s: %d starts in the domain after the bound", rows[_i].name,
 	    (int)(later - at_bound));
-	/* The rest of the system still works. */
+	/* The other domains still complete tasks. */
 	ck_assert_msg(hn_wait_until(completed(&run) > done, HN_LIMIT_MS),
-	    "%s: no work elsewhere", rows[_i].name);
+	    "%s: no task completed in the other domains", rows[_i].name);
 	if (rows[_i].restore != NULL)
 		rows[_i].restore(&run);
 	ck_assert(
 	    hn_wait_until(sys_in_force(&run.sys, 1, old + 1), HN_LIMIT_MS));
 	hn_sleep(2000);
 	ck_assert_msg(sys_total(&run.sys, 0) == at_bound,
-	    "%s: starts after the repair", rows[_i].name);
-	/* A new voter makes a version of its own, which keeps what is out. */
+	    "%s: starts in the domain after the fault was repaired",
+	    rows[_i].name);
+	/*
+	 * The change of a voter creates a version of its own, in which the
+	 * domain must stay out of service.
+	 */
 	ck_assert_int_ge(sys_version(&run.sys, 1), old + 1);
 	ck_assert_msg(sys_is_out(&run.sys, 1, "domain-0"),
 	    "%s: the domain is no longer out", rows[_i].name);
 
-	/* Brought back, the domain gets work again. */
+	/* Back in service, the domain gets tasks again. */
 	ck_assert(hn_wait_until(
 	    sys_out(&run.sys, 2, "domain-0", false)->status / 100 == 2,
 	    HN_LIMIT_MS));
 	ck_assert_msg(
 	    hn_wait_until(sys_total(&run.sys, 0) > at_bound, HN_LIMIT_MS),
-	    "%s: no work after the return", rows[_i].name);
+	    "%s: no start in the domain after its return to service",
+	    rows[_i].name);
 	stop(&run);
 }
 END_TEST
 
-/* From "in force" on nothing starts, even before the bound has passed. */
+/*
+ * Guards against a change that is reported as in force while tasks still start
+ * in the domain, even within the bound.
+ */
 START_TEST(in_force_is_true)
 {
 	struct run run = {0};
@@ -274,7 +288,10 @@
 }
 END_TEST
 
-/* Operators who change different things at once must not undo each other. */
+/*
+ * Guards against concurrent changes at different entries that overwrite each
+ * other.
+ */
 START_TEST(operators_race)
 {
 	enum { ROUNDS = 5 };
@@ -311,7 +328,7 @@
 					  hn_str("domain-%d", i)) == out,
 			    "round %d: domain %d", round, i);
 	}
-	/* Text written against an older version is refused as a whole. */
+	/* A text edited from an older version is refused. */
 	http[0] = hn_http("PUT", sys_ops_url(&sys, 1, "/v1/config"),
 	    hn_str("{\"expected_version\":%d,\"change_id\":\"old\","
 		   "\"text\":\"{}\"}",
@@ -323,7 +340,10 @@
 }
 END_TEST
 
-/* While nobody reaches the store, changes are refused and none is lost. */
+/*
+ * While no entry reaches the store, a change must be refused and must not take
+ * effect later.
+ */
 START_TEST(no_change_without_store)
 {
 	struct sys sys;
@@ -349,7 +369,10 @@
 }
 END_TEST
 
-/* An entry that lost its memory must not go back to an older version. */
+/*
+ * Guards against an entry that restarts during a store outage and adopts an
+ * older version, or starts tasks in a domain that is out of service.
+ */
 START_TEST(restart_during_outage)
 {
 	struct run run = {0};
@@ -370,7 +393,8 @@
 		hn_sleep(200);
 		seen = sys_version(&run.sys, 0);
 		ck_assert_msg(seen <= 0 || seen >= version,
-		    "version %d after %d", (int)seen, (int)version);
+		    "restarted entry holds version %d, older than %d",
+		    (int)seen, (int)version);
 		ck_assert_int_eq(sys_version(&run.sys, 1), version);
 	}
 	ck_assert_int_eq(sys_total(&run.sys, 0), total);
@@ -390,12 +414,15 @@
 } outages[] = {
     {"store down for all", store_down, store_up, 30},
     {"store hangs for all", store_hangs, store_up, 30},
-    {"one entry cut off", cut_entry_from_store, restore_connections, 12},
-    {"one entry's store silent", silence_entry_from_store, restore_connections,
+    {"one entry cut off", cut_store_connection, restore_connections, 12},
+    {"one entry's store silent", freeze_store_connection, restore_connections,
 	12},
 };
 
-/* Work goes on through every entry while the store is out of reach. */
+/*
+ * Guards against an entry that completes no tasks while the store is
+ * unreachable for some or all entries.
+ */
 START_TEST(outage_does_not_stop_work)
 {
 	struct run run = {0};
@@ -433,8 +460,8 @@
 END_TEST
 
 /*
- * Entries that disagree about the members must not make agents close and
- * open connections in a loop.
+ * Entries whose lists of registered entries differ must not make agents close
+ * and open connections in a loop.
  */
 START_TEST(members_disagree)
 {
@@ -444,13 +471,16 @@
 	int i;
 
 	start(&run, 100, NULL);
-	cut_entry_from_store(&run);
+	cut_store_connection(&run);
 	sys_store(&run.sys, "expire");
 	counts = hn_str("http://127.0.0.1:%u/", run.sys.proxy_control);
 	before = hn_json_int(hn_http("GET", counts, NULL), "accepted");
 	hn_sleep(4000);
 	after = hn_json_int(hn_http("GET", counts, NULL), "accepted");
-	/* Each entry's few store polls a second are connections as well. */
+	/*
+	 * The limit includes the connections of each entry for its few store
+	 * polls per second.
+	 */
 	ck_assert_msg(after - before < 300, "%d connections in 4 s",
 	    (int)(after - before));
 	restore_connections(&run);
--- a/tests/test_etcd.c
+++ b/tests/test_etcd.c
@@ -9,7 +9,7 @@
 
 static struct store *store;
 static struct status last;
-static int64_t number, kept; /* revision or lease */
+static int64_t last_number, kept_number; /* revision or lease */
 static char *data;
 static size_t n_values, n_total;
 static int done;
@@ -25,7 +25,7 @@
 	g_free(data);
 	data = n > 0 ? g_strndup(values[0].data, values[0].len) : NULL;
 	if (n > 0)
-		number = values[0].mod_revision;
+		last_number = values[0].mod_revision;
 	done++;
 }
 
@@ -34,7 +34,7 @@
 {
 	(void)ctx;
 	last = *st;
-	number = mod_revision;
+	last_number = mod_revision;
 	done++;
 }
 
@@ -59,36 +59,36 @@
 }
 
 static int64_t
-number_of(const char *word)
+parse_number(const char *word)
 {
 	if (strcmp(word, "last") == 0)
-		return number;
+		return last_number;
 	if (strcmp(word, "kept") == 0)
-		return kept;
-	return strcmp(word, "kept+1") == 0 ? kept + 1 : atoi(word);
+		return kept_number;
+	return strcmp(word, "kept+1") == 0 ? kept_number + 1 : atoi(word);
 }
 
 /* Makes a call of the store; false for another command. */
 static bool
-call(char **words)
+run_store_command(char **words)
 {
 	const struct store_ops *ops = store->ops;
 	const char *key = words[1];
 
 	if (strcmp(words[0], "read") == 0)
-		ops->read(store, key, number_of(words[2]), on_read, NULL);
+		ops->read(store, key, parse_number(words[2]), on_read, NULL);
 	else if (strcmp(words[0], "prefix") == 0)
 		ops->read_prefix(store, key, on_read, NULL);
 	else if (strcmp(words[0], "swap") == 0)
-		ops->compare_and_swap(store, key, number_of(words[2]), words[3],
-		    strlen(words[3]), on_write, NULL);
+		ops->compare_and_swap(store, key, parse_number(words[2]),
+		    words[3], strlen(words[3]), on_write, NULL);
 	else if (strcmp(words[0], "put") == 0)
 		ops->put(store, key, words[3], strlen(words[3]),
-		    number_of(words[2]), on_write, NULL);
+		    parse_number(words[2]), on_write, NULL);
 	else if (strcmp(words[0], "grant") == 0)
-		ops->grant(store, number_of(key), on_lease, NULL);
+		ops->grant(store, parse_number(key), on_lease, NULL);
 	else if (strcmp(words[0], "keepalive") == 0)
-		ops->keepalive(store, number_of(key), on_lease, NULL);
+		ops->keepalive(store, parse_number(key), on_lease, NULL);
 	else
 		return false;
 	return true;
@@ -100,7 +100,7 @@
 	(void)ctx;
 	done = 0;
 	n_values = n_total = 0;
-	if (call(words)) {
+	if (run_store_command(words)) {
 		ck_assert(hn_wait_until(done > 0, 5000));
 		ck_assert_int_eq(done, 1);
 		g_string_append(actual, st_name(last.code));
@@ -110,10 +110,10 @@
 		if (n_values > 0)
 			g_string_append_printf(actual, ": %s", data);
 	} else if (strcmp(words[0], "keep") == 0) {
-		kept = number;
+		kept_number = last_number;
 	} else if (strcmp(words[0], "same") == 0) {
-		ck_assert_int_gt(kept, 0);
-		ck_assert_int_eq(number, kept);
+		ck_assert_int_gt(kept_number, 0);
+		ck_assert_int_eq(last_number, kept_number);
 	} else if (strcmp(words[0], "store") == 0) {
 		store_process_control(words[1]);
 	} else if (strcmp(words[0], "sleep") == 0) {
@@ -123,8 +123,11 @@
 	}
 }
 
-/* After a cancellation the owner may be gone, so no callback may run. */
-START_TEST(cancelled_call_is_silent)
+/*
+ * Guards against a callback after cancel(), when its context may be freed
+ * already.
+ */
+START_TEST(cancelled_call_runs_no_callback)
 {
 	int ctx = 0;
 
@@ -138,5 +141,4 @@
 }
 END_TEST
 
-/* Each case says which failure it guards against. */
-REPLAY_MAIN("etcd", 0, start, end, step, cancelled_call_is_silent)
+REPLAY_MAIN("etcd", 0, start, end, step, cancelled_call_runs_no_callback)
--- a/tests/test_fresh.c
+++ b/tests/test_fresh.c
@@ -5,7 +5,7 @@
 #include "version/fresh.h"
 
 static struct cfg *
-make(uint64_t version)
+make_config(uint64_t version)
 {
 	struct cfg_parts parts = {.version = version,
 	    .change_id = "c",
@@ -20,20 +20,20 @@
 }
 
 static void
-count(struct cfg *cfg, void *ctx)
+count_change(struct cfg *cfg, void *ctx)
 {
 	(void)cfg;
 	(*(int *)ctx)++;
 }
 
-/* A lower version must never replace a higher one. */
+/* Guards against a lower version that replaces a higher one. */
 START_TEST(version_never_falls)
 {
 	struct fresh *fresh = fresh_new(3000);
-	struct cfg *five = make(5), *four = make(4);
+	struct cfg *five = make_config(5), *four = make_config(4);
 	int changes = 0;
 
-	fresh_on_changed(fresh, count, &changes);
+	fresh_on_changed(fresh, count_change, &changes);
 	ck_assert_uint_eq(fresh_version(fresh), 0);
 	fresh_take(fresh, five);
 	fresh_take(fresh, four);
@@ -46,12 +46,15 @@
 }
 END_TEST
 
-/* Work must not start without a confirmation of at least the version held,
- * nor after the limit, and an older confirmation must not lower the time. */
+/*
+ * Guards against task starts without a confirmation, with one for a higher
+ * version than the one held, or with one older than the limit, and against an
+ * older confirmation that moves the confirmation time back.
+ */
 START_TEST(age_counts_from_the_newest_confirmation)
 {
 	struct fresh *fresh = fresh_new(3000);
-	struct cfg *five = make(5);
+	struct cfg *five = make_config(5);
 
 	fresh_confirm(fresh, 0, 1000);
 	ck_assert(!fresh_is_current(fresh, 1000));
--- a/tests/test_mirror.c
+++ b/tests/test_mirror.c
@@ -7,7 +7,7 @@
 
 #define MAX_ITEMS 8
 
-/* A store that answers when the trace says so. */
+/* A fake store that answers when the trace tells it to. */
 struct trace {
 	struct ks ks;
 	struct mir *mir;
@@ -18,7 +18,7 @@
 };
 
 static void
-say(struct trace *t, const char *fmt, ...)
+record(struct trace *t, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -32,14 +32,14 @@
 }
 
 static void
-on_list(void *store, const char *prefix, const char *behind, ks_page_fn fn,
+on_list(void *store, const char *prefix, const char *after_key, ks_page_fn fn,
     void *ctx)
 {
 	struct trace *t = store;
 
 	t->fn = fn;
 	t->ctx = ctx;
-	say(t, "list:%s>%s", prefix, behind);
+	record(t, "list:%s>%s", prefix, after_key);
 }
 
 static void
@@ -51,7 +51,7 @@
 	(void)wait_ms;
 	t->fn = fn;
 	t->ctx = ctx;
-	say(t, "watch:%s>%d", prefix, (int)after);
+	record(t, "watch:%s>%d", prefix, (int)after);
 }
 
 static void
@@ -60,7 +60,7 @@
 	struct trace *t = ctx;
 
 	(void)mir;
-	say(t, "changed");
+	record(t, "changed");
 }
 
 static void *
@@ -89,7 +89,9 @@
 
 	t->actual = NULL;
 	mir_free(t->mir);
-	/* A call in progress ends after the mirror was freed. */
+	/*
+	 * The callback of a call in progress runs after the mirror was freed.
+	 */
 	if (fn != NULL)
 		fn(&st, NULL, t->ctx);
 	g_free(t);
@@ -113,9 +115,9 @@
 	item->len = strlen(item->data);
 }
 
-/* answer AS_OF[+] ITEM...: + tells that more follows */
+/* "answer AS_OF[+] ITEM...": with "+" more pages follow. */
 static void
-answer(struct trace *t, char **w)
+run_answer(struct trace *t, char **w)
 {
 	struct ks_item items[MAX_ITEMS] = {0};
 	struct ks_page page = {
@@ -134,7 +136,7 @@
 }
 
 static void
-refuse(struct trace *t, enum st_code code)
+fail_call(struct trace *t, enum st_code code)
 {
 	struct status st = {.code = code};
 	ks_page_fn fn = t->fn;
@@ -151,25 +153,28 @@
 
 	t->actual = actual;
 	if (strcmp(w[0], "answer") == 0)
-		answer(t, w);
+		run_answer(t, w);
 	else if (strcmp(w[0], "unavailable") == 0)
-		refuse(t, ST_UNAVAILABLE);
+		fail_call(t, ST_UNAVAILABLE);
 	else if (strcmp(w[0], "gone") == 0)
-		refuse(t, ST_NOT_FOUND);
+		fail_call(t, ST_NOT_FOUND);
 	else if (strcmp(w[0], "retry") == 0) {
 		while (t->fn == NULL)
 			g_main_context_iteration(NULL, TRUE);
 	} else if (strcmp(w[0], "get") == 0) {
 		item = mir_get(t->mir, w[1]);
 		if (item == NULL)
-			say(t, "none");
+			record(t, "none");
 		else
-			say(t, "%.*s@%d", (int)g_bytes_get_size(item->data),
+			record(t, "%.*s@%d", (int)g_bytes_get_size(item->data),
 			    (const char *)g_bytes_get_data(item->data, NULL),
 			    (int)item->revision);
 	} else
 		ck_abort_msg("command %s", w[0]);
 }
 
-/* A trace fails when a copy goes back to an older value or misses one. */
+/*
+ * The cases guard against a copy that goes back to an older value or misses
+ * one.
+ */
 REPLAY_MAIN("mirror", 0, start, end, step)
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -10,7 +10,7 @@
 struct trace {
 	struct cfg *docs[MAX_DOCS];
 	GHashTable *observers; /* name -> struct observer */
-	struct observer *at;
+	struct observer *observer;
 	GString *out;
 };
 
@@ -20,7 +20,7 @@
 	uint64_t incarnation;
 };
 
-/* A name of up to 8 characters is its own incarnation. */
+/* The bytes of a name of up to 8 characters make its incarnation. */
 static uint64_t
 incarnation_of(const char *name)
 {
@@ -40,20 +40,20 @@
 }
 
 static void
-observe(struct trace *rp, const char *name)
+select_observer(struct trace *t, const char *name)
 {
-	rp->at = g_hash_table_lookup(rp->observers, name);
-	if (rp->at != NULL)
+	t->observer = g_hash_table_lookup(t->observers, name);
+	if (t->observer != NULL)
 		return;
-	rp->at = g_new0(struct observer, 1);
-	rp->at->quo = quo_new(3000);
-	rp->at->incarnation = incarnation_of(name);
-	g_hash_table_insert(rp->observers, g_strdup(name), rp->at);
+	t->observer = g_new0(struct observer, 1);
+	t->observer->quo = quo_new(3000);
+	t->observer->incarnation = incarnation_of(name);
+	g_hash_table_insert(t->observers, g_strdup(name), t->observer);
 }
 
-/* "doc 2 A,B,C A1,B,C": a voter "X!" has ended. */
+/* Defines a document: "doc 2 A,B,C A1,B,C"; a voter "X!" has ended. */
 static void
-define(struct trace *rp, char **words)
+define_document(struct trace *t, char **words)
 {
 	struct cfg_voter voters[64];
 	struct cfg_voter_set sets[8];
@@ -81,14 +81,17 @@
 	}
 	parts.n_voter_sets = i - 2;
 	document = cfg_write(&parts);
-	rp->docs[parts.version] = cfg_parse(document, strlen(document), &st);
-	ck_assert_msg(rp->docs[parts.version] != NULL, "%s", st.message);
+	t->docs[parts.version] = cfg_parse(document, strlen(document), &st);
+	ck_assert_msg(t->docs[parts.version] != NULL, "%s", st.message);
 	g_free(document);
 }
 
-/* "answer B 5 store=never at=1000", of a process that holds document 5. */
+/*
+ * Adds an answer: "answer B 5 store=never at=1000", from a process that holds
+ * document 5.
+ */
 static void
-take_answer(struct trace *rp, char **words)
+add_answer(struct trace *t, char **words)
 {
 	struct quo_answer answer = {.incarnation = incarnation_of(words[1]),
 	    .version = strtoull(words[2], NULL, 10),
@@ -98,85 +101,88 @@
 		answer.store_age_ms = strtoll(words[3] + 6, NULL, 10);
 	answer.as_of_ms = strtoll(words[4] + 3, NULL, 10);
 	answer.vouches =
-	    quo_vouches(rp->docs[answer.version], answer.incarnation);
-	quo_answer(rp->at->quo, &answer, answer.as_of_ms);
+	    quo_vouches(t->docs[answer.version], answer.incarnation);
+	quo_answer(t->observer->quo, &answer, answer.as_of_ms);
 }
 
 static void
-print_round(struct trace *rp, char **words)
+print_confirmation(struct trace *t, char **words)
 {
-	struct quo_proof proof =
-	    quo_round(rp->at->quo, rp->at->held, strtoll(words[1], NULL, 10));
+	struct quo_proof proof = quo_round(
+	    t->observer->quo, t->observer->held, strtoll(words[1], NULL, 10));
 
 	if (proof.confirmed)
-		g_string_append_printf(rp->out, "confirmed %d as of %d\n",
+		g_string_append_printf(t->out, "confirmed %d as of %d\n",
 		    (int)proof.version, (int)proof.as_of_ms);
 	else
-		g_string_append(rp->out, "nothing\n");
+		g_string_append(t->out, "nothing\n");
 }
 
 static void
-print_accepted(struct trace *rp, char **words)
+print_accepted(struct trace *t, char **words)
 {
 	uint64_t version = strtoull(words[1], NULL, 10);
 	struct cfg_voter missing[16];
 	size_t i, n;
 	char name[9];
-	bool accepted =
-	    quo_accepted(rp->at->quo, rp->at->held, version, missing, 16, &n);
+	bool accepted = quo_accepted(
+	    t->observer->quo, t->observer->held, version, missing, 16, &n);
 
-	g_string_append(rp->out, accepted ? "accepted" : "pending");
+	g_string_append(t->out, accepted ? "accepted" : "pending");
 	for (i = 0; i < n; i++) {
 		memset(name, 0, sizeof(name));
 		memcpy(name, &missing[i].incarnation, 8);
-		g_string_append_printf(rp->out, " %s", name);
+		g_string_append_printf(t->out, " %s", name);
 	}
-	g_string_append_c(rp->out, '\n');
+	g_string_append_c(t->out, '\n');
 }
 
 static void
-run_line(struct trace *rp, const char *line)
+run_line(struct trace *t, const char *line)
 {
 	char **words = g_strsplit(line, " ", -1);
 
 	if (strcmp(words[0], "doc") == 0)
-		define(rp, words);
+		define_document(t, words);
 	else if (strcmp(words[0], "at") == 0)
-		observe(rp, words[1]);
+		select_observer(t, words[1]);
 	else if (strcmp(words[0], "hold") == 0)
-		rp->at->held = rp->docs[atoi(words[1])];
+		t->observer->held = t->docs[atoi(words[1])];
 	else if (strcmp(words[0], "answer") == 0)
-		take_answer(rp, words);
-	else if (strcmp(words[0], "round") == 0)
-		print_round(rp, words);
+		add_answer(t, words);
+	else if (strcmp(words[0], "confirm") == 0)
+		print_confirmation(t, words);
 	else if (strcmp(words[0], "accepted") == 0)
-		print_accepted(rp, words);
+		print_accepted(t, words);
 	else
 		ck_abort_msg("unknown line: %s", line);
 	g_strfreev(words);
 }
 
-/* A process must confirm, and a change be accepted, only with proof. */
+/*
+ * Guards against a configuration that is confirmed, or a version that is
+ * accepted, without the answers that this requires.
+ */
 static char *
-judge(const char *name, const char *input)
+run_trace(const char *name, const char *input)
 {
 	char **lines = g_strsplit(input, "\n", -1);
-	struct trace rp = {.out = g_string_new(NULL)};
+	struct trace t = {.out = g_string_new(NULL)};
 	size_t i;
 
 	(void)name;
-	rp.observers = g_hash_table_new_full(
+	t.observers = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, observer_free);
-	observe(&rp, "O");
+	select_observer(&t, "O");
 	for (i = 0; lines[i] != NULL; i++) {
 		if (lines[i][0] != '#' && lines[i][0] != '\0')
-			run_line(&rp, lines[i]);
+			run_line(&t, lines[i]);
 	}
 	for (i = 0; i < MAX_DOCS; i++)
-		cfg_unref(rp.docs[i]);
-	g_hash_table_destroy(rp.observers);
+		cfg_unref(t.docs[i]);
+	g_hash_table_destroy(t.observers);
 	g_strfreev(lines);
-	return g_strchomp(g_string_free(rp.out, FALSE));
+	return g_strchomp(g_string_free(t.out, FALSE));
 }
 
-CASES_MAIN("quorum", judge)
+CASES_MAIN("quorum", run_trace)
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -67,30 +67,36 @@
 }
 
 static bool
-sees_age_below(int64_t limit_ms, int64_t timeout_ms)
+await_age_below(int64_t limit_ms, int64_t timeout_ms)
 {
 	return hn_wait_until(fresh_age_ms(fresh, clk_now_ms()) >= 0 &&
 				 fresh_age_ms(fresh, clk_now_ms()) < limit_ms,
 	    timeout_ms);
 }
 
-/* The store may have answered at any time since the read was sent, so the
- * age must never be less than the time that a read takes. */
+/*
+ * Guards against an age that counts from the answer to a read: the store may
+ * have evaluated the read right after it was sent, so the age must be at least
+ * the time that the read took.
+ */
 START_TEST(age_counts_from_the_send)
 {
 	setup();
-	ck_assert(sees_age_below(100, 1000));
+	ck_assert(await_age_below(100, 1000));
 	store_process_control("slow?ms=150");
 	hn_sleep(400);
-	ck_assert(!sees_age_below(100, 600));
-	ck_assert(sees_age_below(250, 600));
+	ck_assert(!await_age_below(100, 600));
+	ck_assert(await_age_below(250, 600));
 	teardown();
 }
 END_TEST
 
-/* A store that went back, lost the key or holds nonsense must neither change
- * nor confirm the configuration; a later version must heal it. */
-START_TEST(bad_store_confirms_nothing)
+/*
+ * Guards against a configuration that is changed or confirmed by a store that
+ * returns an older version, a malformed document or no key.  The next higher
+ * version must be adopted again.
+ */
+START_TEST(invalid_store_data_confirms_nothing)
 {
 	const char *bad[] = {"older", "nonsense", "removed"};
 	uint64_t version = 5;
@@ -117,4 +123,5 @@
 }
 END_TEST
 
-TEST_MAIN("reader", 0, age_counts_from_the_send, bad_store_confirms_nothing)
+TEST_MAIN(
+    "reader", 0, age_counts_from_the_send, invalid_store_data_confirms_nothing)
