--- a/src/version/change.h
+++ b/src/version/change.h
@@ -71,10 +71,14 @@
 void chg_retire(struct chg *chg);
 
 enum chg_state {
-	CHG_UNSEEN,  /* this entry holds only lower versions */
-	CHG_PENDING, /* not known to be accepted */
-	CHG_ACCEPTED,
-	CHG_IN_FORCE /* accepted at least freshness_ms ago */
+	CHG_UNSEEN,   /* this entry holds only lower versions */
+	CHG_PENDING,  /* not known to be accepted */
+	CHG_ACCEPTED, /* held by a majority of each of its voter sets */
+	/*
+	 * Accepted at least freshness_ms ago, so no process starts tasks under
+	 * an older version any more.
+	 */
+	CHG_IN_FORCE
 };
 
 #define CHG_MISSING_MAX 64
--- a/src/version/config.c
+++ b/src/version/config.c
@@ -15,9 +15,9 @@
 	char *document;
 	size_t document_len;
 	struct cfg_text_parts parsed;
-	GArray *outs;	   /* struct cfg_out */
-	GPtrArray *voters; /* GArray of struct cfg_voter */
-	GArray *changes;   /* struct cfg_change */
+	GArray *outs;	       /* struct cfg_out */
+	GPtrArray *voter_sets; /* GArray of struct cfg_voter */
+	GArray *changes;       /* struct cfg_change */
 };
 
 static const char *const kind_names[] = {
@@ -201,7 +201,7 @@
 		GArray *voters =
 		    array_new(sizeof(struct cfg_voter), clear_voter);
 
-		g_ptr_array_add(cfg->voters, voters);
+		g_ptr_array_add(cfg->voter_sets, voters);
 		set = json_object_array_get_idx(sets, i);
 		if (!json_object_is_type(set, json_type_array))
 			return jsonc_error(
@@ -256,7 +256,7 @@
 	cfg = g_new0(struct cfg, 1);
 	cfg->refs = 1;
 	cfg->outs = array_new(sizeof(struct cfg_out), clear_out);
-	cfg->voters =
+	cfg->voter_sets =
 	    g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
 	cfg->changes = array_new(sizeof(struct cfg_change), clear_change);
 	cfg->document = g_strndup(document, len);
@@ -366,7 +366,7 @@
 		return;
 	cfg_text_clear(&cfg->parsed);
 	g_array_free(cfg->outs, TRUE);
-	g_ptr_array_free(cfg->voters, TRUE);
+	g_ptr_array_free(cfg->voter_sets, TRUE);
 	g_array_free(cfg->changes, TRUE);
 	g_free(cfg->change_id);
 	g_free(cfg->text);
@@ -466,13 +466,13 @@
 size_t
 cfg_voter_sets(const struct cfg *cfg)
 {
-	return cfg->voters->len;
+	return cfg->voter_sets->len;
 }
 
 const struct cfg_voter *
 cfg_voters(const struct cfg *cfg, size_t set, size_t *n)
 {
-	const GArray *voters = g_ptr_array_index(cfg->voters, set);
+	const GArray *voters = g_ptr_array_index(cfg->voter_sets, set);
 
 	*n = voters->len;
 	return (const struct cfg_voter *)voters->data;
--- a/src/version/config.h
+++ b/src/version/config.h
@@ -7,7 +7,11 @@
 
 #include "process/status.h"
 
-/* One version of the configuration document: immutable, reference counted. */
+/*
+ * One version of the configuration document: the text that operators edit, what
+ * they have taken out of service, the voter sets, and the latest changes.
+ * Immutable and reference counted.
+ */
 struct cfg;
 
 enum cfg_kind { CFG_FAILURE_DOMAIN, CFG_WORKER, CFG_SERVICE };
@@ -28,7 +32,10 @@
 	uint32_t max_in_flight;
 };
 
-/* The entry incarnation that votes for a failure domain. */
+/*
+ * The entry incarnation that votes for a failure domain: a majority of the
+ * voters must hold a version before it counts as accepted.
+ */
 struct cfg_voter {
 	const char *failure_domain;
 	uint64_t incarnation;
--- a/src/version/draft.c
+++ b/src/version/draft.c
@@ -180,10 +180,10 @@
 		g_array_append_vals(draft->changes, changes, (guint)n);
 	}
 	if (change->kind != DRF_VOTER) {
-		struct cfg_change entry = {
+		struct cfg_change added = {
 		    change->change_id, draft->parts.version};
 
-		g_array_append_val(draft->changes, entry);
+		g_array_append_val(draft->changes, added);
 	}
 	if (draft->changes->len > CFG_CHANGES_MAX)
 		g_array_remove_index(draft->changes, 0);
--- a/src/version/etcd.c
+++ b/src/version/etcd.c
@@ -144,7 +144,7 @@
 	if (ttl_s <= 0 &&
 	    !g_str_has_suffix(
 		g_uri_get_path(soup_message_get_uri(call->msg)), "/revoke"))
-		st_set(st, ST_NOT_FOUND, "the lease has gone");
+		st_set(st, ST_NOT_FOUND, "the lease has expired");
 	complete_call(call, st, NULL, 0, 0, lease, ttl_s);
 }
 
@@ -176,7 +176,7 @@
 	data = g_bytes_get_data(body, &len);
 	/* gRPC code 5 (NOT_FOUND), for an expired lease, gives status 404. */
 	if (code == SOUP_STATUS_NOT_FOUND && call->kind != READ) {
-		st_set(&st, ST_NOT_FOUND, "the lease has gone");
+		st_set(&st, ST_NOT_FOUND, "the lease has expired");
 		complete_call(call, &st, NULL, 0, 0, 0, 0);
 		return;
 	}
--- a/src/version/members.c
+++ b/src/version/members.c
@@ -131,7 +131,7 @@
 	 */
 	if (st->code == ST_NOT_FOUND)
 		mem->lease = 0;
-	log_line(LOG_WARNING, "registration: %s", st->message);
+	log_line(LOG_WARNING, "registration failed, retrying: %s", st->message);
 	schedule_lease_step(mem, RETRY_DELAY_MS);
 }
 
@@ -142,7 +142,8 @@
 
 	(void)ttl_s;
 	if (st->code != ST_OK) {
-		log_line(LOG_WARNING, "lease: %s", st->message);
+		log_line(LOG_WARNING, "lease not granted, retrying: %s",
+		    st->message);
 		schedule_lease_step(mem, RETRY_DELAY_MS);
 		return;
 	}
@@ -164,7 +165,7 @@
 		return;
 	}
 	if (st->code == ST_NOT_FOUND) {
-		log_line(LOG_WARNING, "lease was lost, registering again");
+		log_line(LOG_WARNING, "lease expired, registering again");
 		mem->lease = 0;
 		mem->registered = false;
 	}
@@ -235,7 +236,8 @@
 		ok = false;
 	}
 	if (!ok)
-		log_line(LOG_WARNING, "registered entry: %s", st.message);
+		log_line(LOG_WARNING, "ignored a malformed registration: %s",
+		    st.message);
 	entry->incarnation = incarnation;
 	jsonc_free(doc);
 	return ok;
@@ -306,7 +308,9 @@
 	(void)total;
 	mem->poll_active = false;
 	if (st->code != ST_OK) {
-		log_line(LOG_DEBUG, "entry list: %s", st->message);
+		log_line(LOG_DEBUG,
+		    "reading the list of registered entries failed: %s",
+		    st->message);
 		return;
 	}
 	/*
--- a/src/version/reader.c
+++ b/src/version/reader.c
@@ -81,7 +81,9 @@
 	rdr->busy = false;
 	if (st->code == ST_OK &&
 	    !handle_values(rdr, values, n, total, &outcome))
-		log_line(LOG_ERR, "configuration: %s", outcome.message);
+		log_line(LOG_ERR,
+		    "configuration read from the store rejected: %s",
+		    outcome.message);
 	rdr->waiting = rdr->next;
 	rdr->next = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 	if (rdr->waiting->len > 0)
--- a/src/version/routes.c
+++ b/src/version/routes.c
@@ -22,15 +22,15 @@
 index_queue(struct rts *rts, struct rts_queue *queue)
 {
 	char *host = g_ascii_strdown(queue->host, -1);
-	GPtrArray *same = g_hash_table_lookup(rts->by_host, host);
+	GPtrArray *queues = g_hash_table_lookup(rts->by_host, host);
 
-	if (same == NULL) {
-		same = g_ptr_array_new();
-		g_hash_table_insert(rts->by_host, host, same);
+	if (queues == NULL) {
+		queues = g_ptr_array_new();
+		g_hash_table_insert(rts->by_host, host, queues);
 	} else {
 		g_free(host);
 	}
-	g_ptr_array_add(same, queue);
+	g_ptr_array_add(queues, queue);
 }
 
 /* Returns a table with one reference. */
@@ -94,15 +94,15 @@
 {
 	const struct rts_queue *best = NULL;
 	g_autofree char *name = NULL;
-	GPtrArray *same;
+	GPtrArray *queues;
 	guint i;
 
 	if (host == NULL)
 		return NULL;
 	name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
-	same = g_hash_table_lookup(rts->by_host, name);
-	for (i = 0; same != NULL && i < same->len; i++) {
-		const struct rts_queue *queue = same->pdata[i];
+	queues = g_hash_table_lookup(rts->by_host, name);
+	for (i = 0; queues != NULL && i < queues->len; i++) {
+		const struct rts_queue *queue = queues->pdata[i];
 
 		if (g_str_has_prefix(path, queue->prefix) &&
 		    (best == NULL ||
--- a/src/version/voters.c
+++ b/src/version/voters.c
@@ -62,8 +62,8 @@
 }
 
 /*
- * Picks the lowest incarnation, so that all entries choose the same candidate
- * and few of them try to write.
+ * Picks the eligible entry of the domain with the lowest incarnation.  As all
+ * entries pick the same one, few of them try to write.
  */
 static const struct mem_entry *
 find_candidate(const struct vot_input *in, const char *domain)
