--- a/bench/replay.c
+++ b/bench/replay.c
@@ -222,8 +222,8 @@
 
 	if (!s->opts.head_only)
 		place_begin_pass(e->place, now_ms(s));
-	while (l != NULL && passed < PLACE_PASS_TASKS &&
-	       place_has_room(e->place, "s")) {
+	while (l != NULL && passed < PLACE_PASS_MAX_SKIPPED &&
+	       place_has_capacity(e->place, "s")) {
 		uint32_t task = GPOINTER_TO_UINT(l->data);
 		struct place_task t = place_task(s, task);
 		uint32_t id = place_choose(e->place, &t, now_ms(s));
--- a/src/connection/agentlink.c
+++ b/src/connection/agentlink.c
@@ -365,7 +365,8 @@
 	if (state == WIRE_STATE_UNSEEN)
 		end_start(al, seq, WIRE_NOT_STARTED, WIRE_REASON_SEALED);
 	else if (state == WIRE_STATE_DONE)
-		start->resent_by_ms = clk_now_ms() + al->set->opts.resolve_ms;
+		start->resent_by_ms =
+		    clk_now_ms() + al->set->opts.outcome_timeout_ms;
 	else if (state == WIRE_STATE_QUEUED && start->withdrawn)
 		al_withdraw(al, &seq, 1); /* the first one may be lost */
 }
@@ -557,9 +558,9 @@
 		end_overdue(al, now_ms);
 		if (al->conn != NULL)
 			continue;
-		if (now_ms - al->lost_ms >= set->opts.resolve_ms)
+		if (now_ms - al->lost_ms >= set->opts.outcome_timeout_ms)
 			all_unknown(al);
-		if (now_ms - al->lost_ms >= set->opts.forget_ms) {
+		if (now_ms - al->lost_ms >= set->opts.remove_after_ms) {
 			set->opts.gone(al, set->opts.ctx);
 			g_hash_table_iter_remove(&iter);
 		}
--- a/src/connection/agentlink.h
+++ b/src/connection/agentlink.h
@@ -25,8 +25,9 @@
 	struct ctr_registry *counters;
 	uint32_t max_agents;
 	int64_t silence_ms; /* a QUERY is answered within this time */
-	int64_t resolve_ms; /* open starts of a lost agent become unknown */
-	int64_t forget_ms;  /* a lost agent is removed */
+	int64_t
+	    outcome_timeout_ms; /* open starts of a lost agent become unknown */
+	int64_t remove_after_ms; /* a lost agent is removed */
 	uint64_t (*next_seq)(void *ctx);
 	const wire_member *(*members)(size_t *n, uint64_t *digest, void *ctx);
 	void (*up)(struct al *al, const struct place_worker *worker, void *ctx);
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -128,7 +128,7 @@
 			    el->address, st.message);
 			return;
 		}
-		fresh_take(el->opts.fresh, cfg);
+		fresh_update(el->opts.fresh, cfg);
 		cfg_unref(cfg);
 	}
 	if (config->age_ms >= 0 && echo_ns >= el->first_ns &&
@@ -215,7 +215,7 @@
 
 /* Asks for a heartbeat before the next regular one. */
 void
-el_changed(struct el *el)
+el_request_heartbeat(struct el *el)
 {
 	if (el->open && el->changed_id == 0)
 		el->changed_id =
@@ -508,7 +508,7 @@
 
 /* Returns the incarnation of the entry last reached. */
 uint64_t
-el_entry(const struct el *el)
+el_entry_incarnation(const struct el *el)
 {
 	return el->entry;
 }
--- a/src/connection/entrylink.h
+++ b/src/connection/entrylink.h
@@ -58,13 +58,14 @@
 void el_reconnect(struct el *el, const char *why);
 
 /* Sends a heartbeat at once, together with others asked for meanwhile. */
-void el_changed(struct el *el);
+void el_request_heartbeat(struct el *el);
 /* Sends waiting results in the next loop iteration. */
 void el_flush(struct el *el);
 
 const char *el_address(const struct el *el);
-uint64_t el_entry(const struct el *el); /* 0 until the first HELLO */
-bool el_is_open(const struct el *el);	/* HELLO accepted, not closed since */
+uint64_t el_entry_incarnation(
+    const struct el *el);	      /* 0 until the first HELLO */
+bool el_is_open(const struct el *el); /* HELLO accepted, not closed since */
 /* Entry list as last told on this connection; owned by the link. */
 const struct wire_member *el_members(const struct el *el, size_t *n);
 
--- a/src/connection/entryset.c
+++ b/src/connection/entryset.c
@@ -119,7 +119,8 @@
 serves(const struct el *el, const struct target *t)
 {
 	return strcmp(el_address(el), t->address) == 0 ||
-	       (t->entry != 0 && el_entry(el) == t->entry && el_is_open(el));
+	       (t->entry != 0 && el_entry_incarnation(el) == t->entry &&
+		   el_is_open(el));
 }
 
 static bool
@@ -174,7 +175,7 @@
 		return false;
 	return !el_is_open(el) ||
 	       (all_open(es, targets) &&
-		   es->opts.is_idle(el_entry(el), es->opts.ctx));
+		   es->opts.is_idle(el_entry_incarnation(el), es->opts.ctx));
 }
 
 static gboolean
@@ -205,7 +206,7 @@
 
 /* Asks for a new choice; links are never freed within a callback of theirs. */
 void
-es_choose(struct es *es)
+es_reselect(struct es *es)
 {
 	if (es->choose_id == 0)
 		es->choose_id =
@@ -215,7 +216,7 @@
 static gboolean
 on_review(gpointer data)
 {
-	es_choose(data);
+	es_reselect(data);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -228,7 +229,7 @@
 	es->opts = *opts;
 	es->links = g_ptr_array_new();
 	es->review_id = g_timeout_add(REVIEW_MS, on_review, es);
-	es_choose(es);
+	es_reselect(es);
 	return es;
 }
 
@@ -257,7 +258,7 @@
 	for (i = 0; i < es->links->len; i++) {
 		struct el *el = es->links->pdata[i];
 
-		if (el_is_open(el) && el_entry(el) == entry)
+		if (el_is_open(el) && el_entry_incarnation(el) == entry)
 			return el;
 	}
 	return NULL;
--- a/src/connection/entryset.h
+++ b/src/connection/entryset.h
@@ -29,7 +29,7 @@
 struct es *es_new(const struct es_options *opts);
 void es_free(struct es *es);
 /* Chooses again in the next loop iteration; call when a list changed. */
-void es_choose(struct es *es);
+void es_reselect(struct es *es);
 /* The open link to an entry incarnation, or NULL. */
 struct el *es_find(const struct es *es, uint64_t entry);
 bool es_is_listed(const struct es *es, uint64_t entry);
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -54,7 +54,7 @@
 	int64_t doubt_until_ms;	 /* calls went unanswered recently */
 	const char *replaced;	 /* why runs are lost once cleared, or NULL */
 	struct ans answers;
-	bool looking; /* a call of hold_look() is in progress */
+	bool looking; /* a call of hold_request_report() is in progress */
 	bool look_again;
 	guint next_id;
 	bool was_ready;
@@ -123,7 +123,7 @@
 }
 
 uint64_t
-hold_born_ms(const struct hold *hold)
+hold_incarnation(const struct hold *hold)
 {
 	return hold->phase == ABSENT ? 0 : hold->born_ms;
 }
@@ -162,7 +162,7 @@
 	int64_t now_ms = clk_now_ms();
 
 	if (verdict != WP_NO_ANSWER) {
-		ans_came(&hold->answers, now_ms - sent_ms);
+		ans_received(&hold->answers, now_ms - sent_ms);
 		hold->silent_since_ms = 0;
 		return;
 	}
@@ -257,7 +257,7 @@
 {
 	hold->lease_ends_ms = 0;
 	hold->replaced = NULL;
-	hold->opts.lost(reason, hold->opts.ctx);
+	hold->opts.runs_lost(reason, hold->opts.ctx);
 }
 
 static void
@@ -310,7 +310,7 @@
 	if (call->look &&
 	    (hold->look_again || report->answer.verdict == WP_NO_ANSWER)) {
 		hold->look_again = false;
-		hold_look(hold);
+		hold_request_report(hold);
 	}
 	/* The heartbeat of another incarnation tells the rest of it. */
 	call_later(hold, is_report_of(hold, report) ? GATHER_MS : RETRY_MS);
@@ -347,14 +347,14 @@
 				   ? DOUBT_WAIT_MS
 				   : WAIT_MS;
 		if (hold->silent_since_ms == 0 &&
-		    hold->opts.wanted(hold->opts.ctx))
+		    hold->opts.lease_needed(hold->opts.ctx))
 			args.deadline_ms = extend_lease(hold);
 	}
 	send_hold(hold, &args, false);
 }
 
 void
-hold_look(struct hold *hold)
+hold_request_report(struct hold *hold)
 {
 	struct wp_hold args = {.last_end = hold->last_end};
 
@@ -418,7 +418,7 @@
 }
 
 void
-hold_left(struct hold *hold, const char *instance)
+hold_worker_left(struct hold *hold, const char *instance)
 {
 	if (hold->phase == ABSENT || g_strcmp0(instance, hold->instance) != 0)
 		return;
--- a/src/connection/httplisten.c
+++ b/src/connection/httplisten.c
@@ -57,7 +57,7 @@
 
 /* Closes connections whose request has not arrived whole in time. */
 void
-hl_limit_receive(SoupServer *server, int64_t receive_ms)
+hl_set_receive_timeout(SoupServer *server, int64_t receive_ms)
 {
 	g_signal_connect(server, "request-started",
 	    G_CALLBACK(on_request_started),
@@ -94,7 +94,7 @@
 
 /* Drops what arrived of the body and what will. */
 void
-hl_refuse_body(SoupServerMessage *msg)
+hl_discard_body(SoupServerMessage *msg)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(msg);
 
--- a/src/connection/listener.c
+++ b/src/connection/listener.c
@@ -49,7 +49,7 @@
 	struct rpc_options opts = {
 	    .socket = socket,
 	    .silence_ms = ln->opts.silence_ms,
-	    .first_call_ms = ln->opts.silence_ms,
+	    .first_call_timeout_ms = ln->opts.silence_ms,
 	    .on_call = on_first_call,
 	    .on_closed = on_unidentified_closed,
 	    .ctx = ln,
--- a/src/connection/localhttp.c
+++ b/src/connection/localhttp.c
@@ -108,7 +108,7 @@
 	(void)data;
 	if (!hl_body_exceeds(msg, MAX_BODY_BYTES))
 		return;
-	hl_refuse_body(msg);
+	hl_discard_body(msg);
 	reply_error(msg, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE, "too_large",
 	    "a body needs Content-Length and is at most 64 KB");
 }
@@ -128,7 +128,7 @@
 	soup_server_add_early_handler(lh->server, NULL, on_headers, lh, NULL);
 	soup_server_add_early_handler(
 	    lh->server, "/v1/announce", on_headers, lh, NULL);
-	hl_limit_receive(lh->server, HL_RECEIVE_MS);
+	hl_set_receive_timeout(lh->server, HL_RECEIVE_TIMEOUT_MS);
 	if (!hl_listen(lh->server, opts->listen, st)) {
 		lh_free(lh);
 		lh = NULL;
--- a/src/connection/rpc.c
+++ b/src/connection/rpc.c
@@ -245,7 +245,7 @@
 		rpc_close(conn, ST_INVALID, "unexpected call");
 		return;
 	}
-	conn->opts.first_call_ms = 0;
+	conn->opts.first_call_timeout_ms = 0;
 	conn->opts.on_call(conn, &call, conn->opts.ctx);
 }
 
@@ -310,7 +310,7 @@
 static uint32_t
 record_limit(const struct rpc_conn *conn)
 {
-	return conn->opts.first_call_ms > 0
+	return conn->opts.first_call_timeout_ms > 0
 		   ? MIN(conn->opts.max_record_bytes, FIRST_RECORD_MAX)
 		   : conn->opts.max_record_bytes;
 }
@@ -630,8 +630,8 @@
 	    now_ms - conn->last_input_ms > conn->opts.silence_ms)
 		rpc_close(conn, ST_TIMEOUT, "no input from the peer");
 	/* Input that never becomes a call would hold the connection. */
-	if (conn->open && conn->opts.first_call_ms > 0 &&
-	    now_ms - conn->opened_ms > conn->opts.first_call_ms)
+	if (conn->open && conn->opts.first_call_timeout_ms > 0 &&
+	    now_ms - conn->opened_ms > conn->opts.first_call_timeout_ms)
 		rpc_close(conn, ST_TIMEOUT, "no call from the peer");
 }
 
--- a/src/connection/rpc.h
+++ b/src/connection/rpc.h
@@ -38,8 +38,9 @@
 	uint32_t prog; /* program spoken here; 0: that of the first call */
 	uint32_t max_record_bytes; /* 0: 4 MB + 64 KB */
 	uint32_t max_queue_bytes;  /* unsent output; 0: 64 MB */
-	int64_t silence_ms;    /* close after this without input; 0: never */
-	int64_t first_call_ms; /* close without a call after this; 0: never */
+	int64_t silence_ms; /* close after this without input; 0: never */
+	int64_t
+	    first_call_timeout_ms; /* close without a call after this; 0: never */
 	rpc_call_fn on_call;
 	rpc_closed_fn on_closed;
 	void *ctx;
--- a/src/connection/run.x
+++ b/src/connection/run.x
@@ -49,7 +49,7 @@
 };
 
 /* Heartbeat of the entry, with the failure domains that are out. */
-struct run_beat_args {
+struct run_heartbeat_args {
 	int64_t revision;	/* of the configuration, 0: none yet */
 	run_name out<RUN_DOMAINS_MAX>;
 };
@@ -91,7 +91,7 @@
 		void RUN_OPEN(run_open_args) = 1;
 		void RUN_START(run_start_args) = 2;
 		void RUN_CANCEL(run_cancel_args) = 3;
-		void RUN_BEAT(run_beat_args) = 4;
+		void RUN_HEARTBEAT(run_heartbeat_args) = 4;
 		void RUN_WORKER(run_worker_args) = 5;
 		void RUN_UPDATE(run_update_args) = 6;
 	} = 1;
--- a/src/connection/run_xdr.c
+++ b/src/connection/run_xdr.c
@@ -104,7 +104,7 @@
 }
 
 bool_t
-xdr_run_beat_args(XDR *xdrs, run_beat_args *objp)
+xdr_run_heartbeat_args(XDR *xdrs, run_heartbeat_args *objp)
 {
 	register int32_t *buf;
 
--- a/src/connection/run_xdr.h
+++ b/src/connection/run_xdr.h
@@ -69,14 +69,14 @@
 };
 typedef struct run_cancel_args run_cancel_args;
 
-struct run_beat_args {
+struct run_heartbeat_args {
 	int64_t revision;
 	struct {
 		u_int out_len;
 		run_name *out_val;
 	} out;
 };
-typedef struct run_beat_args run_beat_args;
+typedef struct run_heartbeat_args run_heartbeat_args;
 
 struct run_worker_args {
 	uint64_t incarnation;
@@ -131,9 +131,10 @@
 #define RUN_CANCEL 3
 extern enum clnt_stat run_cancel_1(run_cancel_args *, void *, CLIENT *);
 extern bool_t run_cancel_1_svc(run_cancel_args *, void *, struct svc_req *);
-#define RUN_BEAT 4
-extern enum clnt_stat run_beat_1(run_beat_args *, void *, CLIENT *);
-extern bool_t run_beat_1_svc(run_beat_args *, void *, struct svc_req *);
+#define RUN_HEARTBEAT 4
+extern enum clnt_stat run_heartbeat_1(run_heartbeat_args *, void *, CLIENT *);
+extern bool_t run_heartbeat_1_svc(
+    run_heartbeat_args *, void *, struct svc_req *);
 #define RUN_WORKER 5
 extern enum clnt_stat run_worker_1(run_worker_args *, void *, CLIENT *);
 extern bool_t run_worker_1_svc(run_worker_args *, void *, struct svc_req *);
@@ -143,22 +144,22 @@
 extern int run_prog_1_freeresult(SVCXPRT *, xdrproc_t, caddr_t);
 
 #else /* K&R C */
-#define RUN_OPEN   1
+#define RUN_OPEN      1
 extern enum clnt_stat run_open_1();
 extern bool_t run_open_1_svc();
-#define RUN_START  2
+#define RUN_START     2
 extern enum clnt_stat run_start_1();
 extern bool_t run_start_1_svc();
-#define RUN_CANCEL 3
+#define RUN_CANCEL    3
 extern enum clnt_stat run_cancel_1();
 extern bool_t run_cancel_1_svc();
-#define RUN_BEAT   4
-extern enum clnt_stat run_beat_1();
-extern bool_t run_beat_1_svc();
-#define RUN_WORKER 5
+#define RUN_HEARTBEAT 4
+extern enum clnt_stat run_heartbeat_1();
+extern bool_t run_heartbeat_1_svc();
+#define RUN_WORKER    5
 extern enum clnt_stat run_worker_1();
 extern bool_t run_worker_1_svc();
-#define RUN_UPDATE 6
+#define RUN_UPDATE    6
 extern enum clnt_stat run_update_1();
 extern bool_t run_update_1_svc();
 extern int run_prog_1_freeresult();
@@ -174,7 +175,7 @@
 extern bool_t xdr_run_spec(XDR *, run_spec *);
 extern bool_t xdr_run_start_args(XDR *, run_start_args *);
 extern bool_t xdr_run_cancel_args(XDR *, run_cancel_args *);
-extern bool_t xdr_run_beat_args(XDR *, run_beat_args *);
+extern bool_t xdr_run_heartbeat_args(XDR *, run_heartbeat_args *);
 extern bool_t xdr_run_worker_args(XDR *, run_worker_args *);
 extern bool_t xdr_run_outcome(XDR *, run_outcome *);
 extern bool_t xdr_run_result(XDR *, run_result *);
@@ -188,7 +189,7 @@
 extern bool_t xdr_run_spec();
 extern bool_t xdr_run_start_args();
 extern bool_t xdr_run_cancel_args();
-extern bool_t xdr_run_beat_args();
+extern bool_t xdr_run_heartbeat_args();
 extern bool_t xdr_run_worker_args();
 extern bool_t xdr_run_outcome();
 extern bool_t xdr_run_result();
--- a/src/connection/sessions.c
+++ b/src/connection/sessions.c
@@ -93,13 +93,13 @@
 static void
 take_beat(struct session *s, XDR *xdrs)
 {
-	run_beat_args args = {0};
+	run_heartbeat_args args = {0};
 
-	if (xdr_run_beat_args(xdrs, &args))
-		s->ses->opts.beat(s->id, &args, s->ses->opts.ctx);
+	if (xdr_run_heartbeat_args(xdrs, &args))
+		s->ses->opts.on_heartbeat(s->id, &args, s->ses->opts.ctx);
 	else
 		rpc_close(s->conn, ST_INVALID, "malformed heartbeat");
-	xdr_free((xdrproc_t)xdr_run_beat_args, &args);
+	xdr_free((xdrproc_t)xdr_run_heartbeat_args, &args);
 }
 
 /*
@@ -139,7 +139,7 @@
 	case RUN_CANCEL:
 		take_cancel(s, call->args);
 		break;
-	case RUN_BEAT:
+	case RUN_HEARTBEAT:
 		take_beat(s, call->args);
 		break;
 	default:
--- a/src/connection/sessions.h
+++ b/src/connection/sessions.h
@@ -22,8 +22,8 @@
 	    uint64_t session, const struct run_start_args *args, void *ctx);
 	void (*cancel)(
 	    uint64_t session, const struct run_cancel_args *args, void *ctx);
-	void (*beat)(
-	    uint64_t session, const struct run_beat_args *args, void *ctx);
+	void (*on_heartbeat)(
+	    uint64_t session, const struct run_heartbeat_args *args, void *ctx);
 	void *ctx;
 };
 
--- a/src/connection/wire.x
+++ b/src/connection/wire.x
@@ -184,7 +184,7 @@
 
 struct wire_peer_status_result {
 	uint64_t incarnation;
-	bool vouches;			/* may count as a voter */
+	bool may_vote;			/* may count as a voter */
 	int64_t store_age_ms;		/* own store confirmation, -1 never */
 	wire_config config;		/* age as any process may use it */
 };
--- a/src/connection/wire_xdr.c
+++ b/src/connection/wire_xdr.c
@@ -396,7 +396,7 @@
 
 	if (!xdr_uint64_t(xdrs, &objp->incarnation))
 		return FALSE;
-	if (!xdr_bool(xdrs, &objp->vouches))
+	if (!xdr_bool(xdrs, &objp->may_vote))
 		return FALSE;
 	if (!xdr_int64_t(xdrs, &objp->store_age_ms))
 		return FALSE;
--- a/src/connection/wire_xdr.h
+++ b/src/connection/wire_xdr.h
@@ -249,7 +249,7 @@
 
 struct wire_peer_status_result {
 	uint64_t incarnation;
-	bool_t vouches;
+	bool_t may_vote;
 	int64_t store_age_ms;
 	wire_config config;
 };
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -12,13 +12,13 @@
  * exactly once from the main loop.
  */
 enum wp_verdict {
-	WP_DONE,     /* carried out */
-	WP_STALE,    /* refused: the run number is not higher than a past one */
-	WP_LATE,     /* refused: the deadline of the call has passed */
-	WP_FENCED,   /* refused: another agent has a higher token */
-	WP_REFUSED,  /* refused for another reason; nothing was done */
-	WP_REPLACED, /* another incarnation answered; nothing was done */
-	WP_NO_ANSWER /* may have been carried out, now or later */
+	WP_DONE,      /* carried out */
+	WP_STALE_RUN, /* refused: the run number is not higher than a past one */
+	WP_DEADLINE_PASSED, /* refused: the deadline of the call has passed */
+	WP_FENCED,	    /* refused: another agent has a higher token */
+	WP_REFUSED,	    /* refused for another reason; nothing was done */
+	WP_REPLACED,	    /* another incarnation answered; nothing was done */
+	WP_NO_ANSWER	    /* may have been carried out, now or later */
 };
 
 struct wp_answer {
@@ -42,11 +42,11 @@
 	int64_t deadline_ms; /* worker's clock; also extends its lease */
 };
 
-enum wp_end {
+enum wp_end_kind {
 	WP_ENDED_DONE,
 	WP_ENDED_FAILED,
 	WP_ENDED_STOPPED,
-	WP_ENDED_LAPSED
+	WP_ENDED_LEASE_EXPIRED
 };
 
 struct wp_running {
@@ -59,7 +59,7 @@
 	int64_t number;
 	const char *task;
 	int64_t run;
-	enum wp_end how;
+	enum wp_end_kind end_kind;
 };
 
 /* Arrays are valid during the callback only. */
--- a/src/connection/worklink.c
+++ b/src/connection/worklink.c
@@ -125,15 +125,16 @@
 }
 
 void
-wlk_beat(struct wlk *link)
+wlk_send_heartbeat(struct wlk *link)
 {
-	run_beat_args args = {0};
+	run_heartbeat_args args = {0};
 
 	if (link->conn == NULL)
 		return;
-	link->opts.beat(&args, link->opts.ctx);
+	link->opts.fill_heartbeat(&args, link->opts.ctx);
 	link->beat_ms = clk_now_ms();
-	rpc_send(link->conn, RUN_BEAT, (xdrproc_t)xdr_run_beat_args, &args);
+	rpc_send(link->conn, RUN_HEARTBEAT, (xdrproc_t)xdr_run_heartbeat_args,
+	    &args);
 }
 
 static bool
@@ -151,7 +152,7 @@
 	if (was_paused(link))
 		wlk_reconnect(link, "process was paused");
 	else if (clk_now_ms() - link->beat_ms >= BEAT_MS)
-		wlk_beat(link);
+		wlk_send_heartbeat(link);
 }
 
 /*
@@ -208,7 +209,7 @@
 	args.entry = (char *)link->opts.name;
 	args.incarnation = link->opts.incarnation;
 	rpc_send(link->conn, RUN_OPEN, (xdrproc_t)xdr_run_open_args, &args);
-	wlk_beat(link);
+	wlk_send_heartbeat(link);
 }
 
 static void
--- a/src/connection/worklink.h
+++ b/src/connection/worklink.h
@@ -19,7 +19,7 @@
 	const char *name;    /* of this entry; outlives the link */
 	uint64_t incarnation;
 	/* Fills the heartbeat; its array is borrowed. */
-	void (*beat)(struct run_beat_args *args, void *ctx);
+	void (*fill_heartbeat)(struct run_heartbeat_args *args, void *ctx);
 	void (*worker)(
 	    struct wlk *link, const struct run_worker_args *args, void *ctx);
 	void (*update)(
@@ -42,7 +42,7 @@
 /* Sends the starts and cancels since the last call. */
 void wlk_flush(struct wlk *link);
 /* Sends a heartbeat now, for news. */
-void wlk_beat(struct wlk *link);
+void wlk_send_heartbeat(struct wlk *link);
 /*
  * To be called several times as often as heartbeats are due.  The links share
  * the caller's timer: each timer of its own would wake the process apart.
--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -85,10 +85,10 @@
 	if (previous != 0 && previous != entry->incarnation &&
 	    es_find(agent->es, previous) == NULL) {
 		ex_drop(agent->ex, previous);
-		out_gone(agent->out, previous);
+		out_forget(agent->out, previous);
 	}
-	out_open(agent->out, entry->incarnation);
-	es_choose(agent->es);
+	out_connected(agent->out, entry->incarnation);
+	es_reselect(agent->es);
 	return true;
 }
 
@@ -98,9 +98,9 @@
 	struct agent *agent = ctx;
 
 	(void)el;
-	out_close(agent->out, entry, clk_now_ms());
+	out_disconnected(agent->out, entry, clk_now_ms());
 	if (agent->es != NULL)
-		es_choose(agent->es);
+		es_reselect(agent->es);
 }
 
 static void
@@ -109,7 +109,7 @@
 	struct agent *agent = ctx;
 
 	(void)el;
-	es_choose(agent->es);
+	es_reselect(agent->es);
 }
 
 static void
@@ -128,7 +128,7 @@
 {
 	struct agent *agent = ctx;
 
-	out_ack(agent->out, el_entry(el), number);
+	out_ack(agent->out, el_entry_incarnation(el), number);
 	check_drained(agent);
 }
 
@@ -149,7 +149,8 @@
 {
 	struct agent *agent = ctx;
 
-	return !was_paused(agent) && ex_start(agent->ex, el_entry(el), args);
+	return !was_paused(agent) &&
+	       ex_start(agent->ex, el_entry_incarnation(el), args);
 }
 
 static void
@@ -157,7 +158,7 @@
 {
 	struct agent *agent = ctx;
 
-	ex_withdraw(agent->ex, el_entry(el), args);
+	ex_withdraw(agent->ex, el_entry_incarnation(el), args);
 }
 
 static void
@@ -166,7 +167,7 @@
 {
 	struct agent *agent = ctx;
 
-	ex_query(agent->ex, el_entry(el), args, states);
+	ex_query(agent->ex, el_entry_incarnation(el), args, states);
 }
 
 static bool
@@ -174,10 +175,11 @@
 {
 	struct agent *agent = ctx;
 
-	if (!out_batch(agent->out, el_entry(el), RESULTS_MAX_BYTES, args)) {
+	if (!out_batch(agent->out, el_entry_incarnation(el), RESULTS_MAX_BYTES,
+		args)) {
 		/* The reply to a heartbeat acknowledges the last results. */
 		if (agent->draining)
-			el_changed(el);
+			el_request_heartbeat(el);
 		return false;
 	}
 	ex_load(agent->ex, &args->load);
@@ -213,14 +215,14 @@
 {
 	struct agent *agent = ctx;
 
-	return out_records(agent->out, entry) == 0;
+	return out_record_count(agent->out, entry) == 0;
 }
 
 static void
 tell_link(struct el *el, void *ctx)
 {
 	(void)ctx;
-	el_changed(el);
+	el_request_heartbeat(el);
 }
 
 /* Tells the entries at once when the announcement says something new. */
@@ -293,7 +295,7 @@
 	scan->ended = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	scan->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	scan->waiting = false;
-	out_each(agent->out, scan_entry, scan);
+	out_foreach(agent->out, scan_entry, scan);
 }
 
 static void
@@ -314,7 +316,7 @@
 	for (i = 0; i < scan.ended->len; i++)
 		ex_drop(agent->ex, g_array_index(scan.ended, uint64_t, i));
 	for (i = 0; i < scan.gone->len; i++)
-		out_gone(agent->out, g_array_index(scan.gone, uint64_t, i));
+		out_forget(agent->out, g_array_index(scan.gone, uint64_t, i));
 	scan_clear(&scan);
 }
 
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -83,7 +83,7 @@
 	struct entry *entry = data;
 
 	entry->wake_id = 0;
-	dsp_run(entry->dispatch, clk_now_ms());
+	dsp_place_tasks(entry->dispatch, clk_now_ms());
 	return G_SOURCE_REMOVE;
 }
 
@@ -122,7 +122,7 @@
 {
 	struct entry *entry = ctx;
 
-	api_ended(entry->api, job);
+	api_job_ended(entry->api, job);
 }
 
 /* Agents to dispatch. */
@@ -140,7 +140,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_up(entry->pool, al, worker, clk_now_ms());
+	pool_set_connected(entry->pool, al, worker, clk_now_ms());
 	wake(entry);
 }
 
@@ -149,7 +149,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_down(entry->pool, al);
+	pool_set_disconnected(entry->pool, al);
 }
 
 static void
@@ -157,7 +157,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_gone(entry->pool, al);
+	pool_remove(entry->pool, al);
 }
 
 static void
@@ -166,7 +166,7 @@
 {
 	struct entry *entry = ctx;
 
-	pool_load(entry->pool, al, load, unseen, clk_now_ms());
+	pool_set_load(entry->pool, al, load, unseen, clk_now_ms());
 	wake(entry);
 }
 
@@ -185,7 +185,7 @@
 {
 	struct entry *entry = ctx;
 
-	return place_has_live(entry->place, service);
+	return place_has_live_worker(entry->place, service);
 }
 
 static uint32_t
@@ -198,21 +198,21 @@
 }
 
 static void
-fill_facts(const char *service, struct adm_facts *facts, void *ctx)
+fill_snapshot(const char *service, struct adm_snapshot *snapshot, void *ctx)
 {
 	struct entry *entry = ctx;
 	int64_t now_ms = clk_now_ms();
 
-	facts->cfg = fresh_config(entry->fresh);
-	facts->current = fresh_is_current(entry->fresh, now_ms);
-	facts->live_entries = live_entries(entry);
-	facts->waiting = dsp_waiting(entry->dispatch, service);
-	facts->service_live = place_has_live(entry->place, service);
-	facts->expected_wait_ms = place_expected_wait_ms(
-	    entry->place, service, facts->waiting, now_ms);
-	facts->is_live = is_live;
-	facts->is_live_ctx = entry;
-	facts->place = entry->place;
+	snapshot->cfg = fresh_config(entry->fresh);
+	snapshot->config_confirmed = fresh_is_current(entry->fresh, now_ms);
+	snapshot->live_entries = live_entries(entry);
+	snapshot->waiting = dsp_waiting(entry->dispatch, service);
+	snapshot->service_live = place_has_live_worker(entry->place, service);
+	snapshot->expected_wait_ms = place_expected_wait_ms(
+	    entry->place, service, snapshot->waiting, now_ms);
+	snapshot->is_live = is_live;
+	snapshot->is_live_ctx = entry;
+	snapshot->place = entry->place;
 }
 
 /* The other entries. */
@@ -295,8 +295,8 @@
 		    "%u jobs and %u requests in progress "
 		    "after the drain time",
 		    job_table_open(entry->jobs), http_in_progress(entry->http));
-	chg_retire(entry->change);
-	mem_leave(entry->members, on_left, entry);
+	chg_stop_voting(entry->change);
+	mem_deregister(entry->members, on_left, entry);
 }
 
 static void
@@ -460,7 +460,7 @@
 	    .counters = entry->counters,
 	    .traces = entry->traces,
 	    .limits = {set->max_tasks, WIRE_PAYLOAD_MAX},
-	    .facts = fill_facts,
+	    .snapshot = fill_snapshot,
 	    .owner = find_owner,
 	    .forward = forward,
 	    .ctx = entry,
@@ -488,8 +488,8 @@
 	    .counters = entry->counters,
 	    .max_agents = MAX_AGENTS,
 	    .silence_ms = set->silence_ms,
-	    .resolve_ms = RESOLVE_MS,
-	    .forget_ms = FORGET_MS,
+	    .outcome_timeout_ms = RESOLVE_MS,
+	    .remove_after_ms = FORGET_MS,
 	    .next_seq = next_seq,
 	    .members = member_list,
 	    .up = on_agent_up,
--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -124,17 +124,17 @@
 }
 
 static void
-fill_gate(struct ex *ex, struct rq_gate *gate, int64_t now_ms)
+fill_gate(struct ex *ex, struct rq_conditions *cond, int64_t now_ms)
 {
 	const struct ann_state *ann = ann_state(ex->opts.ann, now_ms);
 	struct cfg *cfg = fresh_config(ex->opts.fresh);
 
-	gate->fresh = cfg != NULL && fresh_is_current(ex->opts.fresh, now_ms);
-	gate->draining = ex->draining || ann->draining;
-	gate->service = ann->service;
-	gate->slots = MIN(ann->slots, ann->connections);
-	gate->slots_in_use = ann->slots_in_use;
-	gate->out =
+	cond->fresh = cfg != NULL && fresh_is_current(ex->opts.fresh, now_ms);
+	cond->draining = ex->draining || ann->draining;
+	cond->service = ann->service;
+	cond->slots = MIN(ann->slots, ann->connections);
+	cond->slots_in_use = ann->slots_in_use;
+	cond->out =
 	    cfg != NULL &&
 	    (cfg_is_out(cfg, CFG_FAILURE_DOMAIN, ex->opts.failure_domain) ||
 		cfg_is_out(cfg, CFG_WORKER, ex->opts.worker) ||
@@ -212,9 +212,9 @@
 	    .traceparent = traceparent,
 	};
 
-	trc_format(&task->span, parent);
+	trc_format_traceparent(&task->span, parent);
 	trc_start(&task->call_span, parent);
-	trc_format(&task->call_span, traceparent);
+	trc_format_traceparent(&task->call_span, traceparent);
 	task->called_ns = clk_now_ns();
 	task->called_wall_ms = clk_wall_ms();
 	(*ex->starts)++;
@@ -237,15 +237,15 @@
 ex_pump(struct ex *ex)
 {
 	enum wire_reason reason;
-	struct rq_gate gate;
+	struct rq_conditions cond;
 	struct rq_task *task;
 	int64_t now_ms;
 
 	for (;;) {
 		/* Read again for each start: the checks hold at its moment. */
 		now_ms = clk_now_ms();
-		fill_gate(ex, &gate, now_ms);
-		task = rq_step(ex->rq, &gate, now_ms, &reason);
+		fill_gate(ex, &cond, now_ms);
+		task = rq_next(ex->rq, &cond, now_ms, &reason);
 		if (task == NULL)
 			break;
 		if (reason == WIRE_REASON_NONE)
@@ -285,10 +285,10 @@
 	struct task *task = task_new(ex, entry, start);
 	int64_t now_ms = clk_now_ms();
 	enum wire_reason reason;
-	struct rq_gate gate;
+	struct rq_conditions cond;
 
-	fill_gate(ex, &gate, now_ms);
-	reason = rq_push(ex->rq, &task->rq, &gate, now_ms);
+	fill_gate(ex, &cond, now_ms);
+	reason = rq_push(ex->rq, &task->rq, &cond, now_ms);
 	if (reason != WIRE_REASON_NONE)
 		return_task(task, reason);
 }
@@ -351,7 +351,7 @@
 {
 	struct rq_task *task;
 
-	while ((task = rq_drop(ex->rq, entry)) != NULL)
+	while ((task = rq_take_of_entry(ex->rq, entry)) != NULL)
 		return_task((struct task *)task, WIRE_REASON_WITHDRAWN);
 }
 
@@ -367,10 +367,10 @@
 void
 ex_load(struct ex *ex, struct wire_load *load)
 {
-	struct rq_gate gate;
+	struct rq_conditions cond;
 
-	fill_gate(ex, &gate, clk_now_ms());
-	rq_load(ex->rq, &gate, load);
+	fill_gate(ex, &cond, clk_now_ms());
+	rq_load(ex->rq, &cond, load);
 }
 
 /* Returns the number of open calls to the endpoint. */
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -47,7 +47,7 @@
 	guint tick_id;
 	guint update_id;
 	bool update_soon;
-	int64_t *starts, *done, *failed, *lost, *refused, *stalled;
+	int64_t *starts, *done, *failed, *runs_lost, *refused, *stalled;
 	int64_t *sessions_lost;
 	struct hst *run_times;
 };
@@ -110,7 +110,7 @@
 send_worker(struct ja *ja, uint64_t session)
 {
 	run_worker_args args = {
-	    .incarnation = hold_born_ms(ja->hold),
+	    .incarnation = hold_incarnation(ja->hold),
 	    .draining = ja->draining || ja->draining_worker,
 	    .service = ja->service,
 	    .failure_domain = ja->failure_domain,
@@ -270,7 +270,7 @@
 
 /* The newest list of any entry is in force. */
 static void
-on_beat(uint64_t session, const struct run_beat_args *args, void *ctx)
+on_beat(uint64_t session, const struct run_heartbeat_args *args, void *ctx)
 {
 	struct ja *ja = ctx;
 	uint32_t i;
@@ -359,7 +359,7 @@
 {
 	struct ja *ja = ctx;
 
-	hold_look(ja->hold);
+	hold_request_report(ja->hold);
 }
 
 static void
@@ -373,7 +373,7 @@
 	int64_t *counters[] = {[LED_DONE] = ja->done,
 	    [LED_FAILED] = ja->failed,
 	    [LED_NOT_STARTED] = ja->refused,
-	    [LED_LOST] = ja->lost,
+	    [LED_LOST] = ja->runs_lost,
 	    [LED_STALLED] = ja->stalled};
 
 	++*counters[result->outcome];
@@ -444,7 +444,7 @@
 	struct ja *ja = ctx;
 
 	describe_again(ja);
-	led_pump(ja->led, clk_now_ms());
+	led_start_queued(ja->led, clk_now_ms());
 }
 
 static void
@@ -478,7 +478,7 @@
 	ja->starts = ctr_counter(reg, "sp_runs_started_total", "Starts sent.");
 	ja->done = ctr_counter(reg, "sp_runs_done_total", "Runs done.");
 	ja->failed = ctr_counter(reg, "sp_runs_failed_total", "Runs failed.");
-	ja->lost = ctr_counter(
+	ja->runs_lost = ctr_counter(
 	    reg, "sp_runs_lost_total", "Runs ended without an outcome.");
 	ja->sessions_lost = ctr_counter(
 	    reg, "sp_sessions_lost_total", "Connections of entries lost.");
@@ -498,7 +498,7 @@
 	    .may_start = may_start,
 	    .start = start_run,
 	    .stop = stop_run,
-	    .look = look_again,
+	    .request_report = look_again,
 	    .result = on_result,
 	    .ctx = ja,
 	};
@@ -506,9 +506,9 @@
 	    .wp = ja->opts.wp,
 	    .lease_ms = ja->opts.lease_ms,
 	    .token = clk_wall_ms(),
-	    .wanted = lease_wanted,
+	    .lease_needed = lease_wanted,
 	    .report = on_report,
-	    .lost = on_lost,
+	    .runs_lost = on_lost,
 	    .changed = on_worker_changed,
 	    .ctx = ja,
 	};
@@ -548,7 +548,7 @@
 	ja->labels = copy_labels(worker);
 	if (changed)
 		describe_again(ja);
-	led_pump(ja->led, clk_now_ms());
+	led_start_queued(ja->led, clk_now_ms());
 	return true;
 }
 
@@ -588,7 +588,7 @@
 	    .closed = on_closed,
 	    .start = on_start,
 	    .cancel = on_cancel,
-	    .beat = on_beat,
+	    .on_heartbeat = on_beat,
 	    .ctx = ja,
 	};
 
@@ -646,9 +646,9 @@
 }
 
 void
-ja_left(struct ja *ja, const char *instance)
+ja_worker_left(struct ja *ja, const char *instance)
 {
-	hold_left(ja->hold, instance);
+	hold_worker_left(ja->hold, instance);
 }
 
 void
--- a/src/process/jobagent.h
+++ b/src/process/jobagent.h
@@ -35,7 +35,7 @@
 /* A heartbeat of the worker. */
 void ja_heartbeat(struct ja *ja, const struct wp_worker *worker);
 /* The worker has left. */
-void ja_left(struct ja *ja, const char *instance);
+void ja_worker_left(struct ja *ja, const char *instance);
 /* Refuses starts; drained() runs when nothing runs any more or at the end. */
 void ja_drain(struct ja *ja);
 
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -90,14 +90,14 @@
 	struct je *je = data;
 
 	je->run_id = 0;
-	sch_run(je->sch, clk_now_ms());
+	sch_place_tasks(je->sch, clk_now_ms());
 	return G_SOURCE_REMOVE;
 }
 
 static void
 run_soon(struct je *je)
 {
-	if (je->run_id == 0 && sch_is_waiting(je->sch))
+	if (je->run_id == 0 && sch_has_waiting_tasks(je->sch))
 		je->run_id = g_idle_add(on_run, je);
 }
 
@@ -149,7 +149,7 @@
 }
 
 static enum je_result
-result_of(enum sch_end end)
+result_of(enum sch_job_end end)
 {
 	switch (end) {
 	case SCH_COMPLETED:
@@ -158,21 +158,21 @@
 		return JE_JOB_FAILED;
 	case SCH_EXPIRED:
 		return JE_TIMEOUT;
-	case SCH_HOPELESS:
+	case SCH_NOT_RUN:
 		return JE_OVERLOADED;
 	case SCH_BROKEN:
 		break;
 	}
-	return JE_BROKEN;
+	return JE_ABORTED;
 }
 
 static const char *
-end_name(enum sch_end end)
+end_name(enum sch_job_end end)
 {
 	static const char *const names[] = {[SCH_COMPLETED] = "completed",
 	    [SCH_JOB_FAILED] = "failed",
 	    [SCH_EXPIRED] = "expired",
-	    [SCH_HOPELESS] = "not_run",
+	    [SCH_NOT_RUN] = "not_run",
 	    [SCH_BROKEN] = "broken"};
 
 	return names[end];
@@ -189,8 +189,8 @@
 }
 
 static void
-on_job_ended(void *data, const char *job, enum sch_end end, const char *reason,
-    void *ctx)
+on_job_ended(void *data, const char *job, enum sch_job_end end,
+    const char *reason, void *ctx)
 {
 	struct je *je = ctx;
 	struct waiter *waiter = data;
@@ -212,7 +212,7 @@
 }
 
 static void
-fill_beat(struct run_beat_args *args, void *ctx)
+fill_beat(struct run_heartbeat_args *args, void *ctx)
 {
 	struct je *je = ctx;
 
@@ -266,7 +266,7 @@
 }
 
 static void
-on_setback(void *data, const struct sch_setback *s, void *ctx)
+on_setback(void *data, const struct sch_failed_start *s, void *ctx)
 {
 	static const char *const names[] = {[SCH_DONE] = "done",
 	    [SCH_FAILED] = "failed",
@@ -344,7 +344,7 @@
 	    .address = address,
 	    .name = je->opts.name,
 	    .incarnation = je->incarnation,
-	    .beat = fill_beat,
+	    .fill_heartbeat = fill_beat,
 	    .worker = on_worker,
 	    .update = on_update,
 	    .closed = on_link_closed,
@@ -454,7 +454,7 @@
 	    g_strv_length(je->out_list));
 	g_hash_table_iter_init(&iter, je->agents);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		wlk_beat(((struct agent *)value)->link);
+		wlk_send_heartbeat(((struct agent *)value)->link);
 	run_soon(je);
 }
 
@@ -485,7 +485,7 @@
 	if (now_ms - je->tick_ms > PAUSE_MS) {
 		evt_write("pause", "\"ms\":%" G_GINT64_FORMAT ",\"jobs\":%u",
 		    now_ms - je->tick_ms, sch_n_jobs(je->sch));
-		sch_give_up_all(je->sch, "entry was paused");
+		sch_abort_all(je->sch, "entry was paused");
 		g_hash_table_iter_init(&iter, je->agents);
 		while (g_hash_table_iter_next(&iter, NULL, &value))
 			wlk_reconnect(((struct agent *)value)->link,
@@ -513,7 +513,7 @@
 		return;
 	late = now_ms - je->drain_since_ms >= je->opts.drain_ms;
 	if (late)
-		sch_give_up_all(je->sch, "entry is shutting down");
+		sch_abort_all(je->sch, "entry is shutting down");
 	if (sch_n_jobs(je->sch) > 0)
 		je->idle_since_ms = 0;
 	else if (je->idle_since_ms == 0)
@@ -597,13 +597,13 @@
 	struct je *je = g_new0(struct je, 1);
 	struct sch_options sch = {
 	    .cross_rack_factor = opts->cross_rack_factor,
-	    .resolve_ms =
+	    .lost_run_timeout_ms =
 		MAX(opts->lease_ms, AGENT_SILENCE_MS) + STOP_MARGIN_MS,
 	    .max_jobs = MAX_JOBS,
 	    .start = start_task,
 	    .flush = flush_agent,
 	    .cancel = cancel_task,
-	    .setback = on_setback,
+	    .start_failed = on_setback,
 	    .ended = on_job_ended,
 	    .ctx = je,
 	};
@@ -612,7 +612,7 @@
 	if (getrandom(&je->incarnation, sizeof(je->incarnation), 0) < 0)
 		je->incarnation = (uint64_t)clk_now_ns();
 	je->sch = sch_new(&sch);
-	wks_set_out(sch_workers(je->sch), is_out, je);
+	wks_set_out_check(sch_workers(je->sch), is_out, je);
 	je->out = g_hash_table_new(g_str_hash, g_str_equal);
 	je->out_list = g_new0(char *, 1);
 	je->agents =
@@ -699,14 +699,14 @@
 
 static void
 refuse(struct je *je, const struct sch_request *request,
-    enum sch_verdict verdict, je_answer_fn fn, void *ctx)
+    enum sch_submit_result verdict, je_answer_fn fn, void *ctx)
 {
 	static const char *const reasons[] = {
 	    [SCH_NO_WORKERS] = "no usable worker of the service",
 	    [SCH_TOO_LARGE] = "a task is larger than any worker",
 	    [SCH_OVERLOADED] = "too many open jobs",
 	    [SCH_BACKLOG] = "the queue's backlog is too long",
-	    [SCH_UNSERVED] = "queues with advice are not served"};
+	    [SCH_UNSUPPORTED] = "queues with advice are not served"};
 	bool overloaded = verdict == SCH_OVERLOADED || verdict == SCH_BACKLOG;
 
 	++*je->refusals;
@@ -739,9 +739,9 @@
 take_over(struct je *je, const char *job, je_answer_fn fn, void *ctx)
 {
 	struct waiter *waiter = add_waiter(je, job, fn, ctx);
-	struct waiter *former = sch_take_over(je->sch, job, waiter);
+	struct waiter *former = sch_replace_waiter(je->sch, job, waiter);
 	struct je_answer a = {
-	    .result = JE_BROKEN, .reason = "the job was sent again"};
+	    .result = JE_ABORTED, .reason = "the job was sent again"};
 
 	evt_write("resend", "\"job\":\"%s\"", job);
 	if (former != NULL)
@@ -755,7 +755,7 @@
 {
 	const struct rts_queue *queue;
 	struct sch_request request = {.job = job, .deadline_ms = deadline_ms};
-	enum sch_verdict verdict;
+	enum sch_submit_result verdict;
 	struct waiter *waiter;
 	uint64_t ticket = 0;
 
@@ -820,8 +820,8 @@
 }
 
 void
-je_state(struct je *je, const char *host, const char *path, const char *job,
-    je_answer_fn fn, void *ctx)
+je_query_state(struct je *je, const char *host, const char *path,
+    const char *job, je_answer_fn fn, void *ctx)
 {
 	if (find_queue(je, host, path, fn, ctx) == NULL)
 		return;
@@ -836,7 +836,7 @@
     je_answer_fn fn, void *ctx)
 {
 	struct je_answer gone = {
-	    .result = JE_BROKEN, .reason = "the job was cancelled"};
+	    .result = JE_ABORTED, .reason = "the job was cancelled"};
 	struct waiter *waiter;
 
 	if (find_queue(je, host, path, fn, ctx) == NULL)
@@ -845,7 +845,7 @@
 		answer_now(fn, ctx, JE_UNKNOWN_JOB, "no such job here", 0);
 		return;
 	}
-	waiter = sch_take_over(je->sch, job, NULL);
+	waiter = sch_replace_waiter(je->sch, job, NULL);
 	sch_cancel(je->sch, job);
 	if (waiter != NULL)
 		answer(je, waiter, &gone);
@@ -853,15 +853,15 @@
 }
 
 void
-je_count(struct je *je, const char *host, const char *path, je_answer_fn fn,
-    void *ctx)
+je_count_pending(struct je *je, const char *host, const char *path,
+    je_answer_fn fn, void *ctx)
 {
 	const struct rts_queue *queue = find_queue(je, host, path, fn, ctx);
-	struct je_answer a = {.result = JE_COUNT, .reason = ""};
+	struct je_answer a = {.result = JE_PENDING_COUNT, .reason = ""};
 
 	if (queue == NULL)
 		return;
-	a.pending = sch_pending(je->sch, queue->name);
+	a.pending = sch_n_unsent_jobs(je->sch, queue->name);
 	fn(&a, ctx);
 }
 
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -25,23 +25,23 @@
 	JE_REFUSED,    /* nothing ran and nothing will */
 	JE_OVERLOADED, /* as above; come again after retry_ms */
 	JE_TIMEOUT,    /* tasks may have run */
-	JE_BROKEN,     /* as above, and the job may be sent again */
+	JE_ABORTED,    /* as above, and the job may be sent again */
 	JE_UNKNOWN_JOB,
 	JE_RUNNING,
-	JE_COUNT
+	JE_PENDING_COUNT
 };
 
 struct je_answer {
 	enum je_result result;
 	const char *reason;
 	int64_t retry_ms;
-	uint32_t pending; /* JE_COUNT */
+	uint32_t pending; /* JE_PENDING_COUNT */
 };
 
 typedef void (*je_answer_fn)(const struct je_answer *answer, void *ctx);
 
 /* Where the adapter finds things in the store, and what they mean. */
-struct je_layout {
+struct je_store_layout {
 	const char *operators_prefix;
 	/* NULL when the items hold no valid configuration. */
 	struct rts *(*routes)(GHashTable *items, struct status *st);
@@ -52,8 +52,8 @@
 struct je_options {
 	const char *name;
 	const char *failure_domain;
-	const struct ks *ks;		/* borrowed */
-	const struct je_layout *layout; /* borrowed */
+	const struct ks *ks;		      /* borrowed */
+	const struct je_store_layout *layout; /* borrowed */
 	double cross_rack_factor;
 	int64_t lease_ms; /* longest lease of a worker */
 	int64_t drain_ms;
@@ -77,11 +77,11 @@
     struct wk_job *job, int64_t deadline_ms, je_answer_fn fn, void *ctx);
 /* The caller has gone: fn does not run, the job's tasks are stopped. */
 void je_abandon(struct je *je, uint64_t ticket);
-void je_state(struct je *je, const char *host, const char *path,
+void je_query_state(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
 void je_cancel(struct je *je, const char *host, const char *path,
     const char *job, je_answer_fn fn, void *ctx);
-void je_count(struct je *je, const char *host, const char *path,
+void je_count_pending(struct je *je, const char *host, const char *path,
     je_answer_fn fn, void *ctx);
 void je_drain(struct je *je);
 
--- a/src/process/jsonc.c
+++ b/src/process/jsonc.c
@@ -173,7 +173,7 @@
 
 /* Refuses every key of node that is not in the list. */
 bool
-jsonc_only(
+jsonc_check_keys(
     const struct jsonc_node *node, const char *const *keys, struct status *st)
 {
 	json_object_object_foreach(node->value, key, value)
@@ -333,7 +333,7 @@
 
 /* Reads the length of an array. */
 bool
-jsonc_array(const struct jsonc_node *node, const char *key,
+jsonc_array_length(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, size_t *n, struct status *st)
 {
 	struct json_object *value;
@@ -348,7 +348,7 @@
 
 /* Returns an object of an array. */
 bool
-jsonc_item(const struct jsonc_node *node, const char *key, size_t index,
+jsonc_array_object(const struct jsonc_node *node, const char *key, size_t index,
     struct jsonc_node *item, struct status *st)
 {
 	struct json_object *array = NULL;
--- a/src/process/jsonc.h
+++ b/src/process/jsonc.h
@@ -31,7 +31,7 @@
 bool jsonc_root(
     const struct jsonc *doc, struct jsonc_node *root, struct status *st);
 /* keys is NULL-terminated. */
-bool jsonc_only(
+bool jsonc_check_keys(
     const struct jsonc_node *node, const char *const *keys, struct status *st);
 bool jsonc_has(const struct jsonc_node *node, const char *key);
 
@@ -53,11 +53,11 @@
 bool jsonc_strings(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, char ***out, struct status *st);
 /* Number of elements of an array; 0 when an optional key is absent. */
-bool jsonc_array(const struct jsonc_node *node, const char *key,
+bool jsonc_array_length(const struct jsonc_node *node, const char *key,
     enum jsonc_need need, size_t *n, struct status *st);
-/* The object at an index of an array whose length jsonc_array() gave. */
-bool jsonc_item(const struct jsonc_node *node, const char *key, size_t index,
-    struct jsonc_node *item, struct status *st);
+/* The object at an index of an array whose length jsonc_array_length() gave. */
+bool jsonc_array_object(const struct jsonc_node *node, const char *key,
+    size_t index, struct jsonc_node *item, struct status *st);
 bool jsonc_object(const struct jsonc_node *node, const char *key,
     struct jsonc_node *item, struct status *st);
 
--- a/src/process/mailbox.c
+++ b/src/process/mailbox.c
@@ -30,7 +30,7 @@
 	(void)fn;
 	(void)data;
 	while ((message = g_async_queue_try_pop(mbx->messages)) != NULL)
-		mbx->opts.take(message, mbx->opts.ctx);
+		mbx->opts.handle_message(message, mbx->opts.ctx);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/src/process/mailbox.h
+++ b/src/process/mailbox.h
@@ -13,7 +13,7 @@
 struct mbx_options {
 	GMainContext *context; /* NULL: the default one */
 	/* Takes a message over. */
-	void (*take)(void *message, void *ctx);
+	void (*handle_message)(void *message, void *ctx);
 	/* Frees a message that was never taken. */
 	GDestroyNotify discard;
 	void *ctx;
--- a/src/process/peering.c
+++ b/src/process/peering.c
@@ -17,7 +17,7 @@
 {
 	if (pl_is_connected(pr->links, incarnation))
 		return API_OWNER_REACHABLE;
-	if (mem_is_gone(pr->opts.members, incarnation, clk_now_ms()))
+	if (mem_is_deregistered(pr->opts.members, incarnation, clk_now_ms()))
 		return API_OWNER_GONE;
 	return API_OWNER_UNREACHABLE;
 }
@@ -77,12 +77,12 @@
 fill_status(uint64_t held, wire_peer_status_result *result, void *ctx)
 {
 	struct peering *pr = ctx;
-	struct quo_answer self = chg_self(pr->opts.change);
+	struct quo_answer self = chg_own_answer(pr->opts.change);
 	struct cfg *cfg = fresh_config(pr->opts.fresh);
 	size_t len;
 
 	result->incarnation = self.incarnation;
-	result->vouches = self.vouches;
+	result->may_vote = self.may_vote;
 	result->store_age_ms = self.store_age_ms;
 	result->config.config_version = fresh_version(pr->opts.fresh);
 	result->config.age_ms = fresh_age_ms(pr->opts.fresh, clk_now_ms());
@@ -106,7 +106,7 @@
 		log_line(LOG_ERR, "configuration from a peer: %s", st.message);
 		return;
 	}
-	fresh_take(pr->opts.fresh, cfg);
+	fresh_update(pr->opts.fresh, cfg);
 	cfg_unref(cfg);
 }
 
@@ -119,13 +119,13 @@
 	    .incarnation = result->incarnation,
 	    .version = result->config.config_version,
 	    .store_age_ms = result->store_age_ms,
-	    .vouches = result->vouches,
+	    .may_vote = result->may_vote,
 	    .as_of_ms = sent_ms,
 	};
 
 	take_document(pr, &result->config);
 	quo_answer(pr->opts.quorum, &answer, clk_now_ms());
-	chg_tick(pr->opts.change);
+	chg_evaluate(pr->opts.change);
 }
 
 static void
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -227,7 +227,7 @@
 
 	for (i = 0; i < n; i++)
 		keys[i] = fields[i].key;
-	ok = jsonc_only(root, keys, st);
+	ok = jsonc_check_keys(root, keys, st);
 	for (i = 0; ok && i < n; i++) {
 		void *out = (char *)set + fields[i].offset;
 
--- a/src/process/trace.c
+++ b/src/process/trace.c
@@ -137,7 +137,8 @@
 
 /* Writes the traceparent for calls made within the span; always sampled. */
 void
-trc_format(const struct trc_context *span, char out[TRC_PARENT_LEN + 1])
+trc_format_traceparent(
+    const struct trc_context *span, char out[TRC_PARENT_LEN + 1])
 {
 	g_snprintf(out, TRC_PARENT_LEN + 1, "00-%s-%s-01", span->trace_id,
 	    span->span_id);
--- a/src/process/trace.h
+++ b/src/process/trace.h
@@ -24,7 +24,8 @@
 /* Starts a span below traceparent, or a new trace when it is NULL or bad. */
 void trc_start(struct trc_context *span, const char *traceparent);
 /* Writes the traceparent that names this span as the parent. */
-void trc_format(const struct trc_context *span, char out[TRC_PARENT_LEN + 1]);
+void trc_format_traceparent(
+    const struct trc_context *span, char out[TRC_PARENT_LEN + 1]);
 /* Stores a finished span.  name and detail are copied; detail may be NULL. */
 void trc_finish(struct trc_ring *ring, const struct trc_context *span,
     const char *name, int64_t start_wall_us, int64_t duration_us, bool ok,
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -55,7 +55,8 @@
 
 /* Counts tasks that were admitted. */
 void
-adm_take(struct admit *adm, const char *service, const char *team, uint32_t n)
+adm_acquire(
+    struct admit *adm, const char *service, const char *team, uint32_t n)
 {
 	set_count(adm->services, service, count_of(adm->services, service) + n);
 	set_count(adm->teams, team, count_of(adm->teams, team) + n);
@@ -67,7 +68,7 @@
 	return count > n ? count - n : 0;
 }
 
-/* Ends the count of tasks that adm_take() counted. */
+/* Ends the count of tasks that adm_acquire() counted. */
 void
 adm_release(
     struct admit *adm, const char *service, const char *team, uint32_t n)
@@ -97,27 +98,27 @@
 }
 
 static enum ref_code
-check_names(const struct adm_facts *facts, const struct adm_request *request,
-    struct status *why)
+check_names(const struct adm_snapshot *snapshot,
+    const struct adm_request *request, struct status *why)
 {
 	const char *blocked;
 
-	if (facts->cfg == NULL || !facts->current) {
+	if (snapshot->cfg == NULL || !snapshot->config_confirmed) {
 		st_set(why, ST_UNAVAILABLE,
 		    "this entry has no confirmed configuration");
 		return REF_NOT_CURRENT;
 	}
-	if (cfg_service(facts->cfg, request->service) == NULL)
+	if (cfg_service(snapshot->cfg, request->service) == NULL)
 		return refuse(why, REF_UNKNOWN_SERVICE,
 		    "the configuration has no such service", request->service);
-	if (cfg_team(facts->cfg, request->team) == NULL)
+	if (cfg_team(snapshot->cfg, request->team) == NULL)
 		return refuse(why, REF_UNKNOWN_TEAM,
 		    "the configuration has no such team", request->team);
-	if (cfg_is_out(facts->cfg, CFG_SERVICE, request->service))
+	if (cfg_is_out(snapshot->cfg, CFG_SERVICE, request->service))
 		return refuse(why, REF_OUT, "the service is out of service",
 		    request->service);
-	blocked = cfg_blocked_by(
-	    facts->cfg, request->service, facts->is_live, facts->is_live_ctx);
+	blocked = cfg_blocked_by(snapshot->cfg, request->service,
+	    snapshot->is_live, snapshot->is_live_ctx);
 	if (blocked != NULL)
 		return refuse(why, REF_DEPENDENCY,
 		    "a dependency is out or has no live endpoint", blocked);
@@ -125,11 +126,11 @@
 }
 
 static enum ref_code
-check_size(const struct adm_facts *facts, const struct adm_request *request,
-    struct status *why)
+check_size(const struct adm_snapshot *snapshot,
+    const struct adm_request *request, struct status *why)
 {
 	const struct cfg_service *service =
-	    cfg_service(facts->cfg, request->service);
+	    cfg_service(snapshot->cfg, request->service);
 	struct place_task task = {
 	    .service = request->service,
 	    .cores = request->cores,
@@ -143,8 +144,8 @@
 		fits = fits && request->memory_mb <= service->max_memory_mb;
 	/* Workers may be away, so they are asked only without a limit. */
 	if (service->max_cores == 0 && service->max_memory_mb == 0 &&
-	    facts->service_live)
-		fits = place_can_ever_run(facts->place, &task);
+	    snapshot->service_live)
+		fits = place_can_ever_run(snapshot->place, &task);
 	if (!fits) {
 		st_set(why, ST_LIMIT,
 		    "a task of %u cores and %" PRIu64
@@ -153,37 +154,37 @@
 		    request->cores, request->memory_mb, request->service);
 		return REF_CAN_NEVER_RUN;
 	}
-	if (!facts->service_live)
+	if (!snapshot->service_live)
 		return refuse(why, REF_NO_ENDPOINT,
 		    "the service has no live endpoint", request->service);
 	return REF_NONE;
 }
 
 static enum ref_code
-check_limits(const struct admit *adm, const struct adm_facts *facts,
+check_limits(const struct admit *adm, const struct adm_snapshot *snapshot,
     const struct adm_request *request, struct status *why)
 {
 	const struct cfg_service *service =
-	    cfg_service(facts->cfg, request->service);
-	const struct cfg_team *team = cfg_team(facts->cfg, request->team);
+	    cfg_service(snapshot->cfg, request->service);
+	const struct cfg_team *team = cfg_team(snapshot->cfg, request->team);
 	uint32_t queue =
 	    service->max_queue != 0 ? service->max_queue : ADM_DEFAULT_QUEUE;
 	uint64_t n = request->n_tasks;
 
-	if (facts->waiting + n > queue)
+	if (snapshot->waiting + n > queue)
 		return refuse(why, REF_QUEUE_FULL,
 		    "the queue of the service is full", request->service);
 	if (count_of(adm->services, request->service) + n >
-	    share(service->max_in_flight, facts->live_entries))
+	    share(service->max_in_flight, snapshot->live_entries))
 		return refuse(why, REF_SERVICE_LIMIT,
 		    "the service is at its limit of tasks in flight",
 		    request->service);
 	if (count_of(adm->teams, request->team) + n >
-	    share(team->max_in_flight, facts->live_entries))
+	    share(team->max_in_flight, snapshot->live_entries))
 		return refuse(why, REF_TEAM_QUOTA,
 		    "the team is at its quota of tasks in flight",
 		    request->team);
-	if (facts->expected_wait_ms >= request->deadline_ms)
+	if (snapshot->expected_wait_ms >= request->deadline_ms)
 		return refuse(why, REF_HOPELESS,
 		    "the expected wait is longer than the deadline allows",
 		    request->service);
@@ -195,14 +196,14 @@
  * refusal is not run.
  */
 enum ref_code
-adm_check(const struct admit *adm, const struct adm_facts *facts,
+adm_check(const struct admit *adm, const struct adm_snapshot *snapshot,
     const struct adm_request *request, struct status *why)
 {
-	enum ref_code code = check_names(facts, request, why);
+	enum ref_code code = check_names(snapshot, request, why);
 
 	if (code == REF_NONE)
-		code = check_size(facts, request, why);
+		code = check_size(snapshot, request, why);
 	if (code == REF_NONE)
-		code = check_limits(adm, facts, request, why);
+		code = check_limits(adm, snapshot, request, why);
 	return code;
 }
--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -17,9 +17,9 @@
 struct admit;
 
 /* What is known at the moment of the decision. */
-struct adm_facts {
+struct adm_snapshot {
 	const struct cfg *cfg;
-	bool current; /* the configuration is confirmed */
+	bool config_confirmed; /* the configuration is confirmed */
 	uint32_t live_entries;
 	uint32_t waiting; /* tasks of the service in the queue */
 	bool service_live;
@@ -43,10 +43,11 @@
 struct admit *adm_new(void);
 void adm_free(struct admit *adm);
 /* REF_NONE: admitted; else why says more. */
-enum ref_code adm_check(const struct admit *adm, const struct adm_facts *facts,
-    const struct adm_request *request, struct status *why);
+enum ref_code adm_check(const struct admit *adm,
+    const struct adm_snapshot *snapshot, const struct adm_request *request,
+    struct status *why);
 /* Counts admitted tasks until their job ends. */
-void adm_take(
+void adm_acquire(
     struct admit *adm, const char *service, const char *team, uint32_t n);
 void adm_release(
     struct admit *adm, const char *service, const char *team, uint32_t n);
--- a/src/request/answertime.c
+++ b/src/request/answertime.c
@@ -10,7 +10,7 @@
 #define MISSES_BEFORE_BACKOFF 2
 
 void
-ans_came(struct ans *ans, int64_t took_ms)
+ans_received(struct ans *ans, int64_t took_ms)
 {
 	double error = (double)took_ms - ans->mean_ms;
 
--- a/src/request/answertime.h
+++ b/src/request/answertime.h
@@ -16,7 +16,7 @@
 	uint32_t missed; /* in a row */
 };
 
-void ans_came(struct ans *ans, int64_t took_ms);
+void ans_received(struct ans *ans, int64_t took_ms);
 void ans_missed(struct ans *ans);
 int64_t ans_timeout_ms(const struct ans *ans);
 
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -72,7 +72,7 @@
 
 /* Writes {"ids":[...]}. */
 char *
-api_mint(struct api *api, uint32_t count)
+api_mint_ids(struct api *api, uint32_t count)
 {
 	GString *out = g_string_new("{\"ids\":[");
 	char id[ID_LEN + 1];
@@ -171,7 +171,7 @@
 api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why)
 {
-	struct adm_facts facts;
+	struct adm_snapshot snapshot;
 	enum ref_code code;
 	int64_t now_ms = clk_now_ms();
 	enum job_put put;
@@ -181,8 +181,8 @@
 		st_set(why, ST_UNAVAILABLE, "this entry is shutting down");
 		return REF_SHUTTING_DOWN;
 	}
-	api->opts.facts(request->service, &facts, api->opts.ctx);
-	code = adm_check(api->opts.admit, &facts, request, why);
+	api->opts.snapshot(request->service, &snapshot, api->opts.ctx);
+	code = adm_check(api->opts.admit, &snapshot, request, why);
 	if (code != REF_NONE)
 		return code;
 	spec->deadline_ms += now_ms;
@@ -196,8 +196,8 @@
 		return REF_TABLE_FULL;
 	}
 	job_ref(*job);
-	adm_take(api->opts.admit, spec->service, spec->team, spec->n_tasks);
-	rty_request(api->opts.retry);
+	adm_acquire(api->opts.admit, spec->service, spec->team, spec->n_tasks);
+	rty_count_request(api->opts.retry);
 	(*api->submitted)++;
 	*api->open += spec->n_tasks;
 	dsp_submit(api->opts.dispatch, *job);
@@ -206,7 +206,7 @@
 
 /* Ends the accounting of a job. */
 void
-api_ended(struct api *api, struct job *job)
+api_job_ended(struct api *api, struct job *job)
 {
 	adm_release(
 	    api->opts.admit, job_service(job), job_team(job), job_n_tasks(job));
@@ -219,7 +219,7 @@
 
 static struct api_call *
 submit_form(struct api_call *call, const struct api_request *request,
-    const struct jobform *form, const struct job_spec *identity)
+    const struct jf_submission *form, const struct job_spec *identity)
 {
 	char traceparent[TRC_PARENT_LEN + 1];
 	struct adm_request want = {
@@ -235,7 +235,7 @@
 	enum ref_code code;
 	struct job *job;
 
-	trc_format(&call->span, traceparent);
+	trc_format_traceparent(&call->span, traceparent);
 	spec.traceparent = traceparent;
 	spec.service = form->service;
 	spec.team = form->team;
@@ -269,7 +269,7 @@
 {
 	struct api *api = call->api;
 	struct job_spec spec = {.id = request->id, .counter = counter};
-	struct jobform *form;
+	struct jf_submission *form;
 	struct status why;
 	enum ref_code code;
 
@@ -381,7 +381,7 @@
 		struct api_request copy = *request;
 		char traceparent[TRC_PARENT_LEN + 1];
 
-		trc_format(&call->span, traceparent);
+		trc_format_traceparent(&call->span, traceparent);
 		copy.traceparent = traceparent;
 		if (api->opts.forward(incarnation, &copy, on_forwarded, call,
 			api->opts.ctx)) {
--- a/src/request/api.h
+++ b/src/request/api.h
@@ -52,7 +52,8 @@
 	struct ctr_registry *counters;
 	struct trc_ring *traces;
 	struct jf_limits limits;
-	void (*facts)(const char *service, struct adm_facts *facts, void *ctx);
+	void (*snapshot)(
+	    const char *service, struct adm_snapshot *snapshot, void *ctx);
 	enum api_owner (*owner)(uint64_t incarnation, void *ctx);
 	/* Returns false, without an answer, when nothing was sent. */
 	bool (*forward)(uint64_t incarnation, const struct api_request *request,
@@ -76,7 +77,7 @@
 bool api_is_unused(const struct api *api, const char *id);
 void api_cancel(struct api_call *call);
 /* Mints ids; the caller frees the JSON with g_free(). */
-char *api_mint(struct api *api, uint32_t count);
+char *api_mint_ids(struct api *api, uint32_t count);
 
 /*
  * Admits and queues a job.  spec->deadline_ms is relative; request gives the
@@ -85,6 +86,6 @@
 enum ref_code api_submit(struct api *api, struct job_spec *spec,
     const struct adm_request *request, struct job **job, struct status *why);
 /* For the dispatcher: a submitted job has ended. */
-void api_ended(struct api *api, struct job *job);
+void api_job_ended(struct api *api, struct job *job);
 
 #endif
--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -54,7 +54,7 @@
 refuse_body(SoupServerMessage *msg, struct request *req, enum ref_code refusal)
 {
 	req->refusal = refusal;
-	hl_refuse_body(msg);
+	hl_discard_body(msg);
 }
 
 static void
@@ -195,7 +195,7 @@
 		hr_refuse(
 		    msg, REF_SHUTTING_DOWN, "this entry is shutting down");
 	} else {
-		answer = api_mint(http->opts.api, count);
+		answer = api_mint_ids(http->opts.api, count);
 		hr_json(msg, 200, answer, strlen(answer));
 		g_free(answer);
 	}
@@ -291,8 +291,8 @@
 	soup_server_add_early_handler(
 	    http->server, NULL, on_headers, http, NULL);
 	soup_server_add_handler(http->server, NULL, on_request, http, NULL);
-	hl_limit_receive(http->server,
-	    opts->receive_ms > 0 ? opts->receive_ms : HL_RECEIVE_MS);
+	hl_set_receive_timeout(http->server,
+	    opts->receive_ms > 0 ? opts->receive_ms : HL_RECEIVE_TIMEOUT_MS);
 	if (!hl_listen(http->server, opts->listen, st)) {
 		http_free(http);
 		return NULL;
--- a/src/request/callers.h
+++ b/src/request/callers.h
@@ -21,7 +21,7 @@
 	struct trc_ring *traces;
 	uint64_t max_body_bytes;
 	uint32_t max_requests; /* in progress */
-	int64_t receive_ms;    /* of one request; 0: HL_RECEIVE_MS */
+	int64_t receive_ms;    /* of one request; 0: HL_RECEIVE_TIMEOUT_MS */
 	bool (*is_ready)(void *ctx);
 	void *ctx;
 };
--- a/src/request/dispatch.c
+++ b/src/request/dispatch.c
@@ -326,7 +326,7 @@
 		}
 	}
 	pool_refresh(dsp->opts.pool, now_ms);
-	dsp_run(dsp, now_ms);
+	dsp_place_tasks(dsp, now_ms);
 }
 
 /* Undoes starts of a batch that was not sent. */
@@ -396,9 +396,9 @@
 static bool
 may_go_on(struct dispatch *dsp, struct pass *pass, const char *service)
 {
-	return ++pass->skipped < PLACE_PASS_TASKS &&
+	return ++pass->skipped < PLACE_PASS_MAX_SKIPPED &&
 	       g_hash_table_size(dsp->outs) < dsp->opts.max_outstanding &&
-	       place_has_room(dsp->opts.place, service);
+	       place_has_capacity(dsp->opts.place, service);
 }
 
 /* Places tasks of one job; returns false when the pass ends. */
@@ -439,7 +439,8 @@
 {
 	struct pass pass = {.now_ms = now_ms};
 	GList *link = queue->jobs.head, *next;
-	bool go_on = link != NULL && place_has_room(dsp->opts.place, service);
+	bool go_on =
+	    link != NULL && place_has_capacity(dsp->opts.place, service);
 
 	while (go_on && link != NULL) {
 		next = link->next;
@@ -453,7 +454,7 @@
  * confirmed, since a domain may have been taken out meanwhile.
  */
 void
-dsp_run(struct dispatch *dsp, int64_t now_ms)
+dsp_place_tasks(struct dispatch *dsp, int64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer key, value;
--- a/src/request/dispatch.h
+++ b/src/request/dispatch.h
@@ -31,7 +31,7 @@
 	    void *agent, const wire_start *starts, size_t n, void *ctx);
 	void (*withdraw)(
 	    void *agent, const uint64_t *seqs, size_t n, void *ctx);
-	void (*wake)(void *ctx); /* asks for dsp_run() soon */
+	void (*wake)(void *ctx); /* asks for dsp_place_tasks() soon */
 	/* A job has ended; runs once for each submitted job. */
 	void (*ended)(struct job *job, void *ctx);
 	void *ctx;
@@ -43,7 +43,7 @@
 void dsp_submit(struct dispatch *dsp, struct job *job);
 void dsp_cancel(struct dispatch *dsp, struct job *job, int64_t now_ms);
 /* Places what can be placed now. */
-void dsp_run(struct dispatch *dsp, int64_t now_ms);
+void dsp_place_tasks(struct dispatch *dsp, int64_t now_ms);
 /* Ends jobs whose deadline or grace period has passed. */
 void dsp_tick(struct dispatch *dsp, int64_t now_ms);
 
--- a/src/request/jobform.c
+++ b/src/request/jobform.c
@@ -144,7 +144,7 @@
 
 static enum ref_code
 read_tasks(struct json_object *root, const struct jf_limits *limits,
-    struct jobform *form, struct status *why)
+    struct jf_submission *form, struct status *why)
 {
 	struct json_object *tasks;
 	enum ref_code code = REF_NONE;
@@ -178,7 +178,7 @@
 /* Reads the body of a submission and checks every key. */
 enum ref_code
 jf_parse(const void *body, size_t len, const struct jf_limits *limits,
-    struct jobform **form, struct status *why)
+    struct jf_submission **form, struct status *why)
 {
 	static const char *const keys[] = {
 	    "service", "team", "deadline_ms", "tasks", NULL};
@@ -188,7 +188,7 @@
 	*form = NULL;
 	if (code != REF_NONE)
 		return code;
-	*form = g_new0(struct jobform, 1);
+	*form = g_new0(struct jf_submission, 1);
 	(*form)->deadline_ms = JF_DEFAULT_DEADLINE_MS;
 	if (!only_keys(root, keys, "job", why) ||
 	    !get_name(root, "service", &(*form)->service, why) ||
@@ -206,7 +206,7 @@
 
 /* Frees a form; NULL is allowed. */
 void
-jf_free(struct jobform *form)
+jf_free(struct jf_submission *form)
 {
 	uint32_t i;
 
--- a/src/request/jobform.h
+++ b/src/request/jobform.h
@@ -10,7 +10,7 @@
 #include "request/refusal.h"
 
 /* The JSON of a submission, and of the answer to it. */
-struct jobform {
+struct jf_submission {
 	char *service;
 	char *team;
 	int64_t deadline_ms; /* from the submission on */
@@ -32,8 +32,9 @@
 
 /* REF_NONE: *form is set, free it with jf_free(); else why says more. */
 enum ref_code jf_parse(const void *body, size_t len,
-    const struct jf_limits *limits, struct jobform **form, struct status *why);
-void jf_free(struct jobform *form);
+    const struct jf_limits *limits, struct jf_submission **form,
+    struct status *why);
+void jf_free(struct jf_submission *form);
 /* Reads {"count":n}; an empty body asks for one id. */
 enum ref_code jf_parse_count(
     const void *body, size_t len, uint32_t *count, struct status *why);
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -213,7 +213,7 @@
 	}
 	wk_add(&led->queued, &run->size);
 	g_sequence_insert_sorted(led->queue, run, by_priority, NULL);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 static void
@@ -304,7 +304,7 @@
  * behind it.  A task whose former run has not ended yet is passed over.
  */
 void
-led_pump(struct led *led, int64_t now_ms)
+led_start_queued(struct led *led, int64_t now_ms)
 {
 	GSequenceIter *it;
 
@@ -350,7 +350,7 @@
 		    now_ms - run->stop_sent_ms >= STOP_REPEAT_MS)
 			send_stop(led, run, now_ms);
 	}
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 static struct run *
@@ -383,7 +383,7 @@
 		if (run->state == STARTING)
 			run->state = RUNNING;
 		return;
-	case WP_STALE:
+	case WP_STALE_RUN:
 		if (run->state == STARTING && run->renumbers < MAX_RENUMBERS) {
 			renumber(led, run, now_ms);
 			return;
@@ -392,10 +392,10 @@
 	case WP_NO_ANSWER:
 		if (run->state == STARTING) {
 			run->unsure_ms = now_ms;
-			led->opts.look(led->opts.ctx);
+			led->opts.request_report(led->opts.ctx);
 		}
 		return;
-	case WP_LATE:
+	case WP_DEADLINE_PASSED:
 	case WP_FENCED:
 	case WP_REFUSED:
 	case WP_REPLACED:
@@ -404,7 +404,7 @@
 	finish(led, run, LED_NOT_STARTED,
 	    answer->reason == NULL ? "refused by the worker" : answer->reason,
 	    now_ms);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 void
@@ -419,10 +419,10 @@
 		send_stop(led, run, now_ms);
 		return;
 	}
-	if (verdict != WP_DONE && verdict != WP_STALE)
+	if (verdict != WP_DONE && verdict != WP_STALE_RUN)
 		return;
 	run->sealed_ms = now_ms;
-	led->opts.look(led->opts.ctx);
+	led->opts.request_report(led->opts.ctx);
 }
 
 static void
@@ -432,7 +432,7 @@
 
 	if (run == NULL || strcmp(run->task, end->task) != 0)
 		return;
-	switch (end->how) {
+	switch (end->end_kind) {
 	case WP_ENDED_DONE:
 		finish(led, run, LED_DONE, "", now_ms);
 		return;
@@ -440,7 +440,7 @@
 		finish(led, run, LED_FAILED, "", now_ms);
 		return;
 	case WP_ENDED_STOPPED:
-	case WP_ENDED_LAPSED:
+	case WP_ENDED_LEASE_EXPIRED:
 		break;
 	}
 	finish(led, run, run->stalled ? LED_STALLED : LED_LOST,
@@ -568,7 +568,7 @@
 		    led, &report->running[i], report->answer.clock_ms, now_ms);
 	settle_unsure(led, report, sent_ms, now_ms);
 	release_sealed(led, report, sent_ms, now_ms);
-	led_pump(led, now_ms);
+	led_start_queued(led, now_ms);
 }
 
 void
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -55,7 +55,7 @@
 	    const char *task, const char *spec, int64_t run, void *ctx);
 	void (*stop)(const char *task, int64_t run, void *ctx);
 	/* Asks for a report that is newer than this call. */
-	void (*look)(void *ctx);
+	void (*request_report)(void *ctx);
 	void (*result)(const struct led_result *result, void *ctx);
 	void *ctx;
 };
@@ -76,7 +76,7 @@
 /* Returns every queued start as not started. */
 void led_return_queue(struct led *led, const char *reason, int64_t now_ms);
 /* Starts what can start. */
-void led_pump(struct led *led, int64_t now_ms);
+void led_start_queued(struct led *led, int64_t now_ms);
 /* Repeats stops without an answer and expires the queue. */
 void led_tick(struct led *led, int64_t now_ms);
 
--- a/src/request/operators.c
+++ b/src/request/operators.c
@@ -337,7 +337,7 @@
 	char *change_id = NULL, *text = NULL;
 	int64_t expected = 0;
 
-	if (jsonc_only(body, keys, &st) &&
+	if (jsonc_check_keys(body, keys, &st) &&
 	    jsonc_int(body, "expected_version", JSONC_REQUIRED, 0, INT64_MAX,
 		&expected, &st) &&
 	    jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st) &&
@@ -378,12 +378,12 @@
 	char *name = NULL, *change_id = NULL;
 	bool out = false;
 
-	if (jsonc_only(body, keys, &st) && read_kind(body, &kind, &st) &&
+	if (jsonc_check_keys(body, keys, &st) && read_kind(body, &kind, &st) &&
 	    jsonc_name(body, "name", JSONC_REQUIRED, &name, &st) &&
 	    jsonc_bool(body, "out", JSONC_REQUIRED, &out, &st) &&
 	    jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st)) {
 		request = request_new(ops, msg);
-		chg_out(ops->opts.chg, kind, name, out, change_id, on_done,
+		chg_set_out(ops->opts.chg, kind, name, out, change_id, on_done,
 		    request);
 		request_wait(request);
 	} else {
@@ -403,7 +403,7 @@
 	char *hex = NULL, *change_id = NULL;
 	guint64 incarnation;
 
-	if (!jsonc_only(body, keys, &st) ||
+	if (!jsonc_check_keys(body, keys, &st) ||
 	    !jsonc_name(body, "incarnation", JSONC_REQUIRED, &hex, &st) ||
 	    !jsonc_name(body, "change_id", JSONC_REQUIRED, &change_id, &st)) {
 		send_refusal(msg, &st);
@@ -412,7 +412,7 @@
 		refuse(msg, ST_INVALID, "incarnation: expected 16 hex digits");
 	} else {
 		request = request_new(ops, msg);
-		chg_ended(
+		chg_mark_ended(
 		    ops->opts.chg, incarnation, change_id, on_done, request);
 		request_wait(request);
 	}
@@ -524,7 +524,7 @@
 	(void)ctx;
 	if (!hl_body_exceeds(msg, MAX_BODY_BYTES))
 		return;
-	hl_refuse_body(msg);
+	hl_discard_body(msg);
 	refuse(
 	    msg, ST_LIMIT, "a body needs Content-Length and is at most 2 MB");
 }
@@ -534,7 +534,7 @@
 {
 	GSList *uris;
 
-	hl_limit_receive(ops->server, HL_RECEIVE_MS);
+	hl_set_receive_timeout(ops->server, HL_RECEIVE_TIMEOUT_MS);
 	if (!hl_listen(ops->server, ops->opts.listen, st))
 		return false;
 	uris = soup_server_get_uris(ops->server);
--- a/src/request/outcome.c
+++ b/src/request/outcome.c
@@ -156,7 +156,7 @@
  * result is sent again on it.
  */
 void
-out_open(struct out *out, uint64_t entry)
+out_connected(struct out *out, uint64_t entry)
 {
 	struct entry *e = find(out, entry);
 
@@ -177,7 +177,7 @@
 
 /* Notes that the connection is closed; the records stay. */
 void
-out_close(struct out *out, uint64_t entry, int64_t now_ms)
+out_disconnected(struct out *out, uint64_t entry, int64_t now_ms)
 {
 	struct entry *e = find(out, entry);
 
@@ -192,7 +192,7 @@
  * that were recorded are reported as unknown, never as unseen.
  */
 void
-out_gone(struct out *out, uint64_t entry)
+out_forget(struct out *out, uint64_t entry)
 {
 	struct entry *e = find(out, entry);
 
@@ -425,7 +425,7 @@
 
 /* Returns the number of records of an entry incarnation. */
 size_t
-out_records(const struct out *out, uint64_t entry)
+out_record_count(const struct out *out, uint64_t entry)
 {
 	struct entry *e = find(out, entry);
 
@@ -443,7 +443,7 @@
 
 /* Runs fn for each entry incarnation with records; fn changes none. */
 void
-out_each(const struct out *out, out_entry_fn fn, void *ctx)
+out_foreach(const struct out *out, out_entry_fn fn, void *ctx)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -31,10 +31,10 @@
 void out_free(struct out *out);
 
 /* A connection to this entry incarnation opened or closed. */
-void out_open(struct out *out, uint64_t entry);
-void out_close(struct out *out, uint64_t entry, int64_t now_ms);
+void out_connected(struct out *out, uint64_t entry);
+void out_disconnected(struct out *out, uint64_t entry, int64_t now_ms);
 /* The incarnation ended: forgets it.  Its queued starts must not run. */
-void out_gone(struct out *out, uint64_t entry);
+void out_forget(struct out *out, uint64_t entry);
 
 enum out_verdict out_start(struct out *out, uint64_t entry, uint64_t seq);
 void out_running(struct out *out, uint64_t entry, uint64_t seq);
@@ -59,10 +59,10 @@
     struct wire_results_args *args);
 
 /* Starts not finished and results not acknowledged. */
-size_t out_records(const struct out *out, uint64_t entry);
+size_t out_record_count(const struct out *out, uint64_t entry);
 uint64_t out_bytes(const struct out *out, uint64_t entry);
 /* closed_ms is -1 while a connection is open. */
 typedef void (*out_entry_fn)(uint64_t entry, int64_t closed_ms, void *ctx);
-void out_each(const struct out *out, out_entry_fn fn, void *ctx);
+void out_foreach(const struct out *out, out_entry_fn fn, void *ctx);
 
 #endif
--- a/src/request/passing.c
+++ b/src/request/passing.c
@@ -327,7 +327,7 @@
 	trc_start(&span,
 	    soup_message_headers_get_one(
 		soup_server_message_get_request_headers(msg), "traceparent"));
-	trc_format(&span, traceparent);
+	trc_format_traceparent(&span, traceparent);
 	code = api_submit(pass->opts.api, &spec, &want, &job, &why);
 	if (code != REF_NONE)
 		hr_refuse(msg, code, why.message);
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -413,7 +413,7 @@
 }
 
 bool
-place_has_room(const struct place *place, const char *service_name)
+place_has_capacity(const struct place *place, const char *service_name)
 {
 	const struct service *service = find_service(place, service_name);
 	guint i;
@@ -589,7 +589,7 @@
 
 /* Whether the service has a worker that may get work. */
 bool
-place_has_live(const struct place *place, const char *service_name)
+place_has_live_worker(const struct place *place, const char *service_name)
 {
 	const struct service *service = find_service(place, service_name);
 	guint i;
--- a/src/request/place.h
+++ b/src/request/place.h
@@ -72,12 +72,12 @@
  * Starts a pass over the queued tasks of a service, in their order.  Within
  * a pass, a task for which place_choose() returns PLACE_NONE reserves the
  * worker that it waits for, and later tasks may still be placed; the pass ends
- * when place_has_room() is false or after PLACE_PASS_TASKS such tasks.
+ * when place_has_capacity() is false or after PLACE_PASS_MAX_SKIPPED such tasks.
  */
-#define PLACE_PASS_TASKS 64U
+#define PLACE_PASS_MAX_SKIPPED 64U
 void place_begin_pass(struct place *place, int64_t now_ms);
 /* Whether any worker of the service can take a task now. */
-bool place_has_room(const struct place *place, const char *service);
+bool place_has_capacity(const struct place *place, const char *service);
 /*
  * Expected run time of a task on the mean worker.  The tasks of a job are
  * queued in falling order of it.
@@ -108,6 +108,6 @@
 int64_t place_expected_wait_ms(const struct place *place, const char *service,
     uint32_t waiting, int64_t now_ms);
 uint32_t place_free_slots(const struct place *place, const char *service);
-bool place_has_live(const struct place *place, const char *service);
+bool place_has_live_worker(const struct place *place, const char *service);
 
 #endif
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -126,13 +126,13 @@
  * starts its history anew; its name and failure domain never change.
  */
 void
-pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
-    int64_t now_ms)
+pool_set_connected(struct pool *pool, void *agent,
+    const struct place_worker *worker, int64_t now_ms)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
 	if (m != NULL && !is_same(m, worker)) {
-		pool_gone(pool, agent);
+		pool_remove(pool, agent);
 		m = NULL;
 	}
 	if (m == NULL)
@@ -143,7 +143,7 @@
 
 /* Stops placing on an agent. */
 void
-pool_down(struct pool *pool, void *agent)
+pool_set_disconnected(struct pool *pool, void *agent)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
@@ -155,7 +155,7 @@
 
 /* Forgets an agent. */
 void
-pool_gone(struct pool *pool, void *agent)
+pool_remove(struct pool *pool, void *agent)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
@@ -169,7 +169,7 @@
 
 /* Takes the load that an agent reported. */
 void
-pool_load(struct pool *pool, void *agent, const struct place_load *load,
+pool_set_load(struct pool *pool, void *agent, const struct place_load *load,
     uint32_t unseen, int64_t now_ms)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -26,13 +26,13 @@
 void pool_free(struct pool *pool);
 
 /* Adds an agent, or replaces what is known of it. */
-void pool_up(struct pool *pool, void *agent, const struct place_worker *worker,
-    int64_t now_ms);
+void pool_set_connected(struct pool *pool, void *agent,
+    const struct place_worker *worker, int64_t now_ms);
 /* A disconnected agent gets no work. */
-void pool_down(struct pool *pool, void *agent);
-void pool_gone(struct pool *pool, void *agent);
-void pool_load(struct pool *pool, void *agent, const struct place_load *load,
-    uint32_t unseen, int64_t now_ms);
+void pool_set_disconnected(struct pool *pool, void *agent);
+void pool_remove(struct pool *pool, void *agent);
+void pool_set_load(struct pool *pool, void *agent,
+    const struct place_load *load, uint32_t unseen, int64_t now_ms);
 /* Checks again which agents are usable. */
 void pool_refresh(struct pool *pool, int64_t now_ms);
 
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -28,7 +28,7 @@
 
 /* Counts a new request, which is no retry itself. */
 void
-rty_request(struct retry *retry)
+rty_count_request(struct retry *retry)
 {
 	retry->budget = MIN(retry->budget + retry->opts.percent,
 	    (uint64_t)retry->opts.burst * WHOLE);
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -29,7 +29,7 @@
 struct retry *rty_new(const struct rty_options *opts);
 void rty_free(struct retry *retry);
 /* Counts a request and earns its share of a retry. */
-void rty_request(struct retry *retry);
+void rty_count_request(struct retry *retry);
 /* Spends budget when the answer is true for RTY_UNKNOWN. */
 bool rty_allow(struct retry *retry, const struct rty_attempt *attempt);
 
--- a/src/request/runqueue.c
+++ b/src/request/runqueue.c
@@ -36,33 +36,34 @@
  * configuration is no such reason: it may be confirmed again in time.
  */
 static enum wire_reason
-refusal(const struct rq_task *task, const struct rq_gate *gate, int64_t now_ms)
+refusal(const struct rq_task *task, const struct rq_conditions *cond,
+    int64_t now_ms)
 {
 	if (task->deadline_ms <= now_ms)
 		return WIRE_REASON_DEADLINE;
-	if (gate->draining)
+	if (cond->draining)
 		return WIRE_REASON_DRAINING;
-	if (gate->service == NULL || strcmp(gate->service, task->service) != 0)
+	if (cond->service == NULL || strcmp(cond->service, task->service) != 0)
 		return WIRE_REASON_NO_ENDPOINT;
-	if (gate->out)
+	if (cond->out)
 		return WIRE_REASON_OUT;
 	return WIRE_REASON_NONE;
 }
 
 /* Queues a task unless it is already known that it can't run. */
 enum wire_reason
-rq_push(struct rq *rq, struct rq_task *task, const struct rq_gate *gate,
+rq_push(struct rq *rq, struct rq_task *task, const struct rq_conditions *cond,
     int64_t now_ms)
 {
-	enum wire_reason reason = refusal(task, gate, now_ms);
-	uint32_t in_use = rq->running + gate->slots_in_use;
+	enum wire_reason reason = refusal(task, cond, now_ms);
+	uint32_t in_use = rq->running + cond->slots_in_use;
 	uint64_t limit = rq->opts.max_queue;
 
 	if (reason != WIRE_REASON_NONE)
 		return reason;
 	/* Tasks of one batch pass through the queue to the free slots. */
-	if (in_use < gate->slots)
-		limit += gate->slots - in_use;
+	if (in_use < cond->slots)
+		limit += cond->slots - in_use;
 	if (rq->queue.length >= limit ||
 	    rq->bytes + task->bytes > rq->opts.max_bytes)
 		return WIRE_REASON_QUEUE_FULL;
@@ -83,25 +84,25 @@
 
 /* Takes the next task that must be returned or can be started. */
 struct rq_task *
-rq_step(struct rq *rq, const struct rq_gate *gate, int64_t now_ms,
+rq_next(struct rq *rq, const struct rq_conditions *cond, int64_t now_ms,
     enum wire_reason *reason)
 {
-	uint64_t in_use = (uint64_t)rq->running + gate->slots_in_use;
+	uint64_t in_use = (uint64_t)rq->running + cond->slots_in_use;
 	GList *l;
 
 	for (l = rq->queue.head; l != NULL; l = l->next) {
-		*reason = refusal(l->data, gate, now_ms);
+		*reason = refusal(l->data, cond, now_ms);
 		if (*reason != WIRE_REASON_NONE)
 			return take(rq, l);
 	}
-	if (rq->queue.head == NULL || !gate->fresh || in_use >= gate->slots)
+	if (rq->queue.head == NULL || !cond->fresh || in_use >= cond->slots)
 		return NULL;
 	rq->running++;
 	*reason = WIRE_REASON_NONE;
 	return take(rq, rq->queue.head);
 }
 
-/* Notes that a task returned by rq_step() for a start has ended. */
+/* Notes that a task returned by rq_next() for a start has ended. */
 void
 rq_finished(struct rq *rq)
 {
@@ -126,7 +127,7 @@
 
 /* Removes the first queued task of an entry incarnation. */
 struct rq_task *
-rq_drop(struct rq *rq, uint64_t entry)
+rq_take_of_entry(struct rq *rq, uint64_t entry)
 {
 	GList *l;
 
@@ -155,10 +156,11 @@
 
 /* Describes the load for entries. */
 void
-rq_load(const struct rq *rq, const struct rq_gate *gate, struct wire_load *load)
+rq_load(const struct rq *rq, const struct rq_conditions *cond,
+    struct wire_load *load)
 {
-	load->slots = gate->service == NULL ? 0 : gate->slots;
-	load->busy = rq->running + gate->slots_in_use;
+	load->slots = cond->service == NULL ? 0 : cond->slots;
+	load->busy = rq->running + cond->slots_in_use;
 	load->queued = rq->queue.length;
-	load->draining = gate->draining;
+	load->draining = cond->draining;
 }
--- a/src/request/runqueue.h
+++ b/src/request/runqueue.h
@@ -22,7 +22,7 @@
 };
 
 /* Conditions of a start, as of the moment of the check. */
-struct rq_gate {
+struct rq_conditions {
 	bool fresh;	     /* configuration confirmed recently enough */
 	bool out;	     /* failure domain, worker or service is out */
 	bool draining;	     /* agent or endpoint is leaving */
@@ -42,23 +42,23 @@
 
 /* WIRE_REASON_NONE: queued.  Otherwise the task is not taken. */
 enum wire_reason rq_push(struct rq *rq, struct rq_task *task,
-    const struct rq_gate *gate, int64_t now_ms);
+    const struct rq_conditions *cond, int64_t now_ms);
 /*
  * Takes the next task from the queue: with WIRE_REASON_NONE it is to be
  * started now and counts as running, otherwise it must not run.  NULL when
  * nothing is to be done at now_ms.
  */
-struct rq_task *rq_step(struct rq *rq, const struct rq_gate *gate,
+struct rq_task *rq_next(struct rq *rq, const struct rq_conditions *cond,
     int64_t now_ms, enum wire_reason *reason);
 void rq_finished(struct rq *rq);
 /* Removes a queued task; NULL when it is not queued. */
 struct rq_task *rq_withdraw(struct rq *rq, uint64_t entry, uint64_t seq);
 /* Removes the first queued task of an entry incarnation, or NULL. */
-struct rq_task *rq_drop(struct rq *rq, uint64_t entry);
+struct rq_task *rq_take_of_entry(struct rq *rq, uint64_t entry);
 
 uint32_t rq_queued(const struct rq *rq);
 uint32_t rq_running(const struct rq *rq);
-void rq_load(
-    const struct rq *rq, const struct rq_gate *gate, struct wire_load *load);
+void rq_load(const struct rq *rq, const struct rq_conditions *cond,
+    struct wire_load *load);
 
 #endif
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -142,8 +142,8 @@
 }
 
 static void
-end_job(
-    struct sch *sch, struct jt_job *job, enum sch_end end, const char *reason)
+end_job(struct sch *sch, struct jt_job *job, enum sch_job_end end,
+    const char *reason)
 {
 	if (job->waiter != NULL)
 		sch->opts.ended(
@@ -157,7 +157,7 @@
 	unsend(sch, task);
 	task->state = JT_UNRESOLVED;
 	task->worker = NULL;
-	task->resolved_ms = now_ms + sch->opts.resolve_ms;
+	task->resolved_ms = now_ms + sch->opts.lost_run_timeout_ms;
 	g_hash_table_add(sch->unresolved, task);
 }
 
@@ -393,13 +393,13 @@
 }
 
 bool
-sch_is_waiting(const struct sch *sch)
+sch_has_waiting_tasks(const struct sch *sch)
 {
 	return sch->waiting;
 }
 
 void
-sch_run(struct sch *sch, int64_t now_ms)
+sch_place_tasks(struct sch *sch, int64_t now_ms)
 {
 	struct pass pass = {.sch = sch, .now_ms = now_ms};
 	size_t i;
@@ -457,7 +457,7 @@
 tell_setback(struct sch *sch, const struct jt_task *task,
     const struct wks_worker *w, enum sch_outcome outcome, const char *reason)
 {
-	struct sch_setback setback = {
+	struct sch_failed_start start_failed = {
 	    .job = task->job->spec->id,
 	    .step = task->step,
 	    .index = task->index,
@@ -469,7 +469,7 @@
 	    .sent_ms = task->sent_ms,
 	};
 
-	sch->opts.setback(w->link, &setback, sch->opts.ctx);
+	sch->opts.start_failed(w->link, &start_failed, sch->opts.ctx);
 }
 
 void
@@ -512,7 +512,7 @@
 }
 
 /* Whether each step has a worker. */
-static enum sch_verdict
+static enum sch_submit_result
 check_workers(const struct sch *sch, const char *service,
     const struct wk_job *spec, int64_t now_ms)
 {
@@ -622,17 +622,17 @@
 		sch->first_ms = now_ms;
 }
 
-enum sch_verdict
+enum sch_submit_result
 sch_submit(struct sch *sch, struct sch_request *request, int64_t now_ms)
 {
 	struct spd_queue *speed;
 	struct worth worth;
 	struct waits waits;
-	enum sch_verdict verdict;
+	enum sch_submit_result verdict;
 	struct jt_job *job;
 
-	if (request->queue->advised)
-		return SCH_UNSERVED;
+	if (request->queue->external_placement)
+		return SCH_UNSUPPORTED;
 	read_clock(sch, now_ms);
 	verdict =
 	    check_workers(sch, request->queue->service, request->job, now_ms);
@@ -663,7 +663,7 @@
 }
 
 void *
-sch_take_over(struct sch *sch, const char *id, void *waiter)
+sch_replace_waiter(struct sch *sch, const char *id, void *waiter)
 {
 	struct jt_job *job = g_hash_table_lookup(sch->jobs, id);
 	void *former = job->waiter;
@@ -738,7 +738,7 @@
 		struct jt_job *job = l->data;
 
 		if (!job->sent && job->useful_until_ms <= now_ms)
-			end_job(sch, job, SCH_HOPELESS, "no room in time");
+			end_job(sch, job, SCH_NOT_RUN, "no room in time");
 		else if (job->deadline_ms <= now_ms)
 			end_job(sch, job, SCH_EXPIRED, "deadline has passed");
 	}
@@ -750,11 +750,11 @@
 	read_clock(sch, now_ms);
 	resolve_lost(sch, now_ms);
 	expire_jobs(sch, now_ms);
-	sch_run(sch, now_ms);
+	sch_place_tasks(sch, now_ms);
 }
 
 void
-sch_give_up_all(struct sch *sch, const char *reason)
+sch_abort_all(struct sch *sch, const char *reason)
 {
 	g_autoptr(GList) jobs = g_hash_table_get_values(sch->jobs);
 	GList *l;
@@ -762,8 +762,7 @@
 	for (l = jobs; l != NULL; l = l->next) {
 		struct jt_job *job = l->data;
 
-		end_job(
-		    sch, job, job->sent ? SCH_BROKEN : SCH_HOPELESS, reason);
+		end_job(sch, job, job->sent ? SCH_BROKEN : SCH_NOT_RUN, reason);
 	}
 }
 
@@ -774,7 +773,7 @@
 }
 
 uint32_t
-sch_pending(const struct sch *sch, const char *queue)
+sch_n_unsent_jobs(const struct sch *sch, const char *queue)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -24,21 +24,21 @@
 	SCH_STALLED /* a fault of the worker, no attempt of the task */
 };
 
-enum sch_end {
+enum sch_job_end {
 	SCH_COMPLETED,
 	SCH_JOB_FAILED, /* a task used up its attempts */
 	SCH_EXPIRED,	/* the deadline has passed; tasks may have run */
-	SCH_HOPELESS,	/* given up before any task was sent */
+	SCH_NOT_RUN,	/* given up before any task was sent */
 	SCH_BROKEN	/* given up after a task may have run */
 };
 
-enum sch_verdict {
+enum sch_submit_result {
 	SCH_ACCEPTED,
 	SCH_NO_WORKERS, /* none of the service is usable now */
 	SCH_TOO_LARGE,	/* no known worker could ever run a task */
 	SCH_OVERLOADED, /* too many jobs are open */
 	SCH_BACKLOG,	/* would wait until its answer is worth nothing */
-	SCH_UNSERVED	/* the queue needs what this product has not */
+	SCH_UNSUPPORTED /* the queue needs what this product has not */
 };
 
 /* A start for a worker; strings are valid during the call. */
@@ -56,7 +56,7 @@
 };
 
 /* A start that did not end well; strings are valid during the call. */
-struct sch_setback {
+struct sch_failed_start {
 	const char *job;
 	uint32_t step;
 	uint32_t index;
@@ -70,17 +70,18 @@
 
 struct sch_options {
 	double cross_rack_factor; /* time on another rack than preferred */
-	int64_t resolve_ms;	  /* runs of a lost agent have ended by then */
+	int64_t
+	    lost_run_timeout_ms; /* runs of a lost agent have ended by then */
 	uint32_t max_jobs;
 	/* False when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
 	/* After the starts of one pass. */
 	void (*flush)(void *link, void *ctx);
 	void (*cancel)(void *link, uint64_t seq, void *ctx);
-	void (*setback)(
-	    void *link, const struct sch_setback *setback, void *ctx);
+	void (*start_failed)(
+	    void *link, const struct sch_failed_start *start_failed, void *ctx);
 	/* The job has ended; waiter is what sch_submit() got. */
-	void (*ended)(void *waiter, const char *job, enum sch_end end,
+	void (*ended)(void *waiter, const char *job, enum sch_job_end end,
 	    const char *reason, void *ctx);
 	void *ctx;
 };
@@ -108,16 +109,16 @@
 
 /* The workers that tasks go to; their links are passed to the callbacks. */
 struct wks *sch_workers(struct sch *sch);
-/* Frees the worker; its open starts are lost after resolve_ms. */
+/* Frees the worker; its open starts are lost after lost_run_timeout_ms. */
 void sch_remove_worker(
     struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 /* The connection was lost: as sch_remove_worker(), but the worker stays. */
 void sch_disconnect(struct sch *sch, struct wks_worker *worker, int64_t now_ms);
 
-enum sch_verdict sch_submit(
+enum sch_submit_result sch_submit(
     struct sch *sch, struct sch_request *request, int64_t now_ms);
 /* Another request for a job that is known here takes it over. */
-void *sch_take_over(struct sch *sch, const char *job, void *waiter);
+void *sch_replace_waiter(struct sch *sch, const char *job, void *waiter);
 bool sch_has_job(const struct sch *sch, const char *job);
 /* False when the job is not known. */
 bool sch_progress(
@@ -127,15 +128,15 @@
 void sch_result(struct sch *sch, uint64_t seq, enum sch_outcome outcome,
     int64_t run_ms, const char *reason, int64_t now_ms);
 /* Whether a task waits for a worker, so that a run may place it. */
-bool sch_is_waiting(const struct sch *sch);
+bool sch_has_waiting_tasks(const struct sch *sch);
 /* Places what can be placed. */
-void sch_run(struct sch *sch, int64_t now_ms);
+void sch_place_tasks(struct sch *sch, int64_t now_ms);
 void sch_tick(struct sch *sch, int64_t now_ms);
 /* Gives every job up, since this process was paused or ends. */
-void sch_give_up_all(struct sch *sch, const char *reason);
+void sch_abort_all(struct sch *sch, const char *reason);
 
 uint32_t sch_n_jobs(const struct sch *sch);
 /* Jobs of a queue of which no task has started. */
-uint32_t sch_pending(const struct sch *sch, const char *queue);
+uint32_t sch_n_unsent_jobs(const struct sch *sch, const char *queue);
 
 #endif
--- a/src/request/workerset.c
+++ b/src/request/workerset.c
@@ -120,7 +120,7 @@
 }
 
 void
-wks_set_out(
+wks_set_out_check(
     struct wks *set, bool (*is_out)(const char *domain, void *ctx), void *ctx)
 {
 	set->is_out = is_out;
--- a/src/request/workerset.h
+++ b/src/request/workerset.h
@@ -69,7 +69,7 @@
 void wks_set_room(struct wks_worker *worker, const struct wk_size *room,
     bool accepting, int64_t now_ms);
 /* Whether a failure domain is out of service. */
-void wks_set_out(
+void wks_set_out_check(
     struct wks *set, bool (*is_out)(const char *domain, void *ctx), void *ctx);
 
 size_t wks_count(const struct wks *set);
--- a/src/version/change.c
+++ b/src/version/change.c
@@ -134,7 +134,7 @@
 {
 	struct chg *chg = ctx;
 
-	return mem_is_gone(chg->opts.mem, incarnation, clk_now_ms());
+	return mem_is_deregistered(chg->opts.mem, incarnation, clk_now_ms());
 }
 
 static void
@@ -171,7 +171,7 @@
 		return;
 	}
 	version = cfg_version(cfg);
-	fresh_take(chg->opts.fresh, cfg);
+	fresh_update(chg->opts.fresh, cfg);
 	cfg_unref(cfg);
 	finish_op(chg, &ok, version);
 }
@@ -303,7 +303,7 @@
 
 /* Takes a failure domain, worker or service out of service or back in. */
 void
-chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
+chg_set_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
     const char *change_id, chg_done_fn fn, void *ctx)
 {
 	struct op *op = op_new(DRF_OUT, change_id, fn, ctx);
@@ -315,7 +315,7 @@
 }
 
 void
-chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
+chg_mark_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
     chg_done_fn fn, void *ctx)
 {
 	struct op *op = op_new(DRF_ENDED, change_id, fn, ctx);
@@ -383,33 +383,33 @@
 
 /* Returns this entry's current status, as sent to peers. */
 struct quo_answer
-chg_self(const struct chg *chg)
+chg_own_answer(const struct chg *chg)
 {
 	int64_t now_ms = clk_now_ms();
 	struct quo_answer answer = {.incarnation = chg->opts.self.incarnation,
 	    .version = fresh_version(chg->opts.fresh),
 	    .store_age_ms = rdr_store_age_ms(chg->opts.rdr, now_ms),
-	    .vouches = !chg->voting_stopped &&
-		       quo_vouches(fresh_config(chg->opts.fresh),
-			   chg->opts.self.incarnation),
+	    .may_vote = !chg->voting_stopped &&
+			quo_may_vote(fresh_config(chg->opts.fresh),
+			    chg->opts.self.incarnation),
 	    .as_of_ms = now_ms};
 
 	return answer;
 }
 
 void
-chg_tick(struct chg *chg)
+chg_evaluate(struct chg *chg)
 {
 	struct cfg *held = fresh_config(chg->opts.fresh);
-	struct quo_answer self = chg_self(chg);
+	struct quo_answer self = chg_own_answer(chg);
 	struct cfg_voter missing[1];
-	struct quo_proof proof;
+	struct quo_confirmation proof;
 	size_t n;
 
-	quo_self(chg->opts.quo, &self);
+	quo_own_answer(chg->opts.quo, &self);
 	if (held == NULL)
 		return;
-	proof = quo_round(chg->opts.quo, held, self.as_of_ms);
+	proof = quo_confirm(chg->opts.quo, held, self.as_of_ms);
 	if (proof.confirmed)
 		fresh_confirm(chg->opts.fresh, proof.version, proof.as_of_ms);
 	if (!is_accepted(chg, cfg_version(held)) &&
@@ -420,7 +420,7 @@
 }
 
 void
-chg_retire(struct chg *chg)
+chg_stop_voting(struct chg *chg)
 {
 	chg->voting_stopped = true;
 }
@@ -428,7 +428,7 @@
 static gboolean
 on_evaluation_timer(gpointer ctx)
 {
-	chg_tick(ctx);
+	chg_evaluate(ctx);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/src/version/change.h
+++ b/src/version/change.h
@@ -45,14 +45,14 @@
 /* expected_version: version that the text was edited from; 0: none. */
 void chg_apply(struct chg *chg, uint64_t expected_version,
     const char *change_id, const char *text, chg_done_fn fn, void *ctx);
-void chg_out(struct chg *chg, enum cfg_kind kind, const char *name, bool out,
-    const char *change_id, chg_done_fn fn, void *ctx);
+void chg_set_out(struct chg *chg, enum cfg_kind kind, const char *name,
+    bool out, const char *change_id, chg_done_fn fn, void *ctx);
 /*
  * Marks a voter as ended, when operators state that its process has ended for
  * good.
  */
-void chg_ended(struct chg *chg, uint64_t incarnation, const char *change_id,
-    chg_done_fn fn, void *ctx);
+void chg_mark_ended(struct chg *chg, uint64_t incarnation,
+    const char *change_id, chg_done_fn fn, void *ctx);
 /* Drops the callbacks with this ctx; the changes themselves continue. */
 void chg_cancel(struct chg *chg, const void *ctx);
 
@@ -61,14 +61,14 @@
  * records accepted versions and proposes this entry as a voter. Call it after
  * quo_answer(); a timer also runs it every 100 ms.
  */
-void chg_tick(struct chg *chg);
-/* This entry's answer to a peer; vouches is false after chg_retire(). */
-struct quo_answer chg_self(const struct chg *chg);
+void chg_evaluate(struct chg *chg);
+/* This entry's answer to a peer; vouches is false after chg_stop_voting(). */
+struct quo_answer chg_own_answer(const struct chg *chg);
 /*
  * Call this before the RPC listener closes: a new process that listens on the
  * same address treats this one as ended, so this one must not vote any more.
  */
-void chg_retire(struct chg *chg);
+void chg_stop_voting(struct chg *chg);
 
 enum chg_state {
 	CHG_UNSEEN,   /* this entry holds only lower versions */
--- a/src/version/config.c
+++ b/src/version/config.c
@@ -100,14 +100,14 @@
 	struct jsonc_node item;
 	size_t i, n;
 
-	if (!jsonc_array(root, "out", JSONC_REQUIRED, &n, st))
+	if (!jsonc_array_length(root, "out", JSONC_REQUIRED, &n, st))
 		return false;
 	for (i = 0; i < n; i++) {
 		struct cfg_out out = {0};
 		char *kind = NULL, *name = NULL;
 		bool ok;
 
-		ok = jsonc_item(root, "out", i, &item, st) &&
+		ok = jsonc_array_object(root, "out", i, &item, st) &&
 		     jsonc_string(&item, "kind", JSONC_REQUIRED, &kind, st) &&
 		     jsonc_name(&item, "name", JSONC_REQUIRED, &name, st);
 		if (ok && !cfg_kind_parse(kind, &out.kind))
@@ -163,7 +163,7 @@
 	struct jsonc_node item;
 	size_t i, n;
 
-	if (!jsonc_array(root, "changes", JSONC_OPTIONAL, &n, st))
+	if (!jsonc_array_length(root, "changes", JSONC_OPTIONAL, &n, st))
 		return false;
 	for (i = 0; i < n; i++) {
 		struct cfg_change change;
@@ -171,7 +171,7 @@
 		int64_t version = 0;
 		bool ok;
 
-		ok = jsonc_item(root, "changes", i, &item, st) &&
+		ok = jsonc_array_object(root, "changes", i, &item, st) &&
 		     jsonc_string(&item, "id", JSONC_REQUIRED, &id, st) &&
 		     jsonc_int(&item, "version", JSONC_REQUIRED, 1, INT64_MAX,
 			 &version, st);
@@ -191,7 +191,7 @@
 	struct json_object *sets, *set, *item;
 	size_t i, j, n;
 
-	if (!jsonc_array(root, "voter_sets", JSONC_REQUIRED, &n, st))
+	if (!jsonc_array_length(root, "voter_sets", JSONC_REQUIRED, &n, st))
 		return false;
 	if (n > CFG_VOTER_SETS_MAX)
 		return jsonc_error(root, "voter_sets", st,
@@ -225,7 +225,7 @@
 	    "out", "voter_sets", "changes", NULL};
 	int64_t version = 0;
 
-	if (!jsonc_only(root, keys, st) ||
+	if (!jsonc_check_keys(root, keys, st) ||
 	    !jsonc_int(
 		root, "version", JSONC_REQUIRED, 1, INT64_MAX, &version, st) ||
 	    !jsonc_string(
--- a/src/version/config_text.c
+++ b/src/version/config_text.c
@@ -101,7 +101,7 @@
 	char *region = g_strdup("");
 	bool ok;
 
-	ok = jsonc_only(item, keys, st) &&
+	ok = jsonc_check_keys(item, keys, st) &&
 	     read_unique_name(item, text->domains, &domain.name, st) &&
 	     jsonc_name(item, "region", JSONC_OPTIONAL, &region, st) &&
 	     jsonc_bool(item, "entries", JSONC_OPTIONAL, &domain.entries, st);
@@ -152,7 +152,7 @@
 	char **depends_on = g_new0(char *, 1);
 	bool ok;
 
-	ok = jsonc_only(item, keys, st) &&
+	ok = jsonc_check_keys(item, keys, st) &&
 	     read_unique_name(item, text->services, &service.name, st) &&
 	     jsonc_strings(
 		 item, "depends_on", JSONC_OPTIONAL, &depends_on, st) &&
@@ -172,7 +172,7 @@
 	struct cfg_team team = {0};
 	bool ok;
 
-	ok = jsonc_only(item, keys, st) &&
+	ok = jsonc_check_keys(item, keys, st) &&
 	     read_unique_name(item, text->teams, &team.name, st) &&
 	     read_limit(item, "max_in_flight", &team.max_in_flight, st);
 	g_array_append_val(text->teams, team);
@@ -192,7 +192,8 @@
 	if (!jsonc_has(root, "limits"))
 		return true;
 	return jsonc_object(root, "limits", &node, st) &&
-	       jsonc_only(&node, keys, st) && read_limits(&node, defaults, st);
+	       jsonc_check_keys(&node, keys, st) &&
+	       read_limits(&node, defaults, st);
 }
 
 static bool
@@ -202,24 +203,26 @@
 	struct jsonc_node item;
 	size_t i, n;
 
-	if (!jsonc_array(root, "failure_domains", JSONC_REQUIRED, &n, st))
+	if (!jsonc_array_length(
+		root, "failure_domains", JSONC_REQUIRED, &n, st))
 		return false;
 	for (i = 0; i < n; i++) {
-		if (!jsonc_item(root, "failure_domains", i, &item, st) ||
+		if (!jsonc_array_object(
+			root, "failure_domains", i, &item, st) ||
 		    !read_domain(&item, text, regions, st))
 			return false;
 	}
-	if (!jsonc_array(root, "services", JSONC_REQUIRED, &n, st))
+	if (!jsonc_array_length(root, "services", JSONC_REQUIRED, &n, st))
 		return false;
 	for (i = 0; i < n; i++) {
-		if (!jsonc_item(root, "services", i, &item, st) ||
+		if (!jsonc_array_object(root, "services", i, &item, st) ||
 		    !read_service(&item, text, defaults, st))
 			return false;
 	}
-	if (!jsonc_array(root, "teams", JSONC_OPTIONAL, &n, st))
+	if (!jsonc_array_length(root, "teams", JSONC_OPTIONAL, &n, st))
 		return false;
 	for (i = 0; i < n; i++) {
-		if (!jsonc_item(root, "teams", i, &item, st) ||
+		if (!jsonc_array_object(root, "teams", i, &item, st) ||
 		    !read_team(&item, text, st))
 			return false;
 	}
@@ -246,7 +249,7 @@
 		dep = cfg_find(services, all[i].depends_on[j]);
 		d = (guint)(dep - all);
 		if (marks[d] == VISITING) {
-			jsonc_item(root, "services", i, &item, st);
+			jsonc_array_object(root, "services", i, &item, st);
 			return jsonc_error(&item, "depends_on", st,
 			    "dependency on \"%s\" closes a cycle", dep->name);
 		}
@@ -272,7 +275,7 @@
 		for (j = 0; all[i].depends_on[j] != NULL; j++) {
 			if (cfg_find(services, all[i].depends_on[j]) != NULL)
 				continue;
-			jsonc_item(root, "services", i, &item, st);
+			jsonc_array_object(root, "services", i, &item, st);
 			return jsonc_error(&item, "depends_on", st,
 			    "unknown service \"%.80s\"", all[i].depends_on[j]);
 		}
@@ -304,7 +307,7 @@
 
 	if (doc == NULL)
 		return false;
-	ok = jsonc_root(doc, &root, st) && jsonc_only(&root, keys, st) &&
+	ok = jsonc_root(doc, &root, st) && jsonc_check_keys(&root, keys, st) &&
 	     jsonc_strings(&root, "regions", JSONC_OPTIONAL, &regions, st) &&
 	     read_default_limits(&root, &defaults, st) &&
 	     read_items(&root, text, regions, &defaults, st) &&
--- a/src/version/fresh.c
+++ b/src/version/fresh.c
@@ -51,7 +51,7 @@
  * listeners.
  */
 void
-fresh_take(struct fresh *fresh, struct cfg *cfg)
+fresh_update(struct fresh *fresh, struct cfg *cfg)
 {
 	struct cfg *old = fresh->cfg;
 	guint i;
--- a/src/version/fresh.h
+++ b/src/version/fresh.h
@@ -24,7 +24,7 @@
 void fresh_on_changed(struct fresh *fresh, fresh_changed_fn fn, void *ctx);
 
 /* Replaces the configuration held if cfg is newer; adds its own reference. */
-void fresh_take(struct fresh *fresh, struct cfg *cfg);
+void fresh_update(struct fresh *fresh, struct cfg *cfg);
 /*
  * Records that no version above the given one was accepted as of as_of_ms.
  * Ignored if the version held is lower than the given one.
--- a/src/version/members.c
+++ b/src/version/members.c
@@ -382,7 +382,7 @@
 
 /*
  * Does not remove the registration, which expires with its lease; see
- * mem_leave().
+ * mem_deregister().
  */
 void
 mem_free(struct mem *mem)
@@ -428,7 +428,7 @@
 
 /* Revokes the lease, so that the store removes the registration. */
 void
-mem_leave(struct mem *mem, mem_changed_fn fn, void *ctx)
+mem_deregister(struct mem *mem, mem_changed_fn fn, void *ctx)
 {
 	mem->store->ops->cancel(mem->store, mem);
 	mem->deregistering = true;
@@ -477,7 +477,7 @@
  * date then.
  */
 bool
-mem_is_gone(const struct mem *mem, uint64_t incarnation, int64_t now_ms)
+mem_is_deregistered(const struct mem *mem, uint64_t incarnation, int64_t now_ms)
 {
 	int64_t grace_ms = REREGISTER_POLLS * MAX(mem->poll_ms, RETRY_DELAY_MS);
 	int64_t since_ms = mem->gapless_since_ms;
--- a/src/version/members.h
+++ b/src/version/members.h
@@ -35,7 +35,7 @@
 struct mem *mem_new(const struct mem_options *opts);
 void mem_free(struct mem *mem);
 /* Removes the registration and stops polling; fn runs once. */
-void mem_leave(struct mem *mem, mem_changed_fn fn, void *ctx);
+void mem_deregister(struct mem *mem, mem_changed_fn fn, void *ctx);
 
 /*
  * Sorted by incarnation, valid until the next change.  Contains only entries
@@ -54,6 +54,7 @@
  * not in the list, and the list was polled without a gap for as long as a live
  * entry needs to register again after it lost its lease.
  */
-bool mem_is_gone(const struct mem *mem, uint64_t incarnation, int64_t now_ms);
+bool mem_is_deregistered(
+    const struct mem *mem, uint64_t incarnation, int64_t now_ms);
 
 #endif
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -85,7 +85,7 @@
 
 /* Records this process's own status, whose as_of_ms is the current time. */
 void
-quo_self(struct quo *quo, const struct quo_answer *answer)
+quo_own_answer(struct quo *quo, const struct quo_answer *answer)
 {
 	quo_answer(quo, answer, answer->as_of_ms);
 }
@@ -110,7 +110,7 @@
  * replaces the voter of its failure domain.
  */
 bool
-quo_vouches(const struct cfg *held, uint64_t incarnation)
+quo_may_vote(const struct cfg *held, uint64_t incarnation)
 {
 	size_t i;
 
@@ -159,10 +159,10 @@
  * held at least the version committed last, so no version above its own was
  * accepted when the read was sent.
  */
-static struct quo_proof
+static struct quo_confirmation
 confirm_by_store(const struct quo *quo, int64_t now_ms)
 {
-	struct quo_proof proof = {0};
+	struct quo_confirmation proof = {0};
 	GHashTableIter iter;
 	gpointer value;
 
@@ -191,10 +191,10 @@
  * predecessors until one of these is accepted; two majorities share a voter.
  * So no later version was accepted when the oldest of the answers was requested.
  */
-static struct quo_proof
+static struct quo_confirmation
 confirm_by_voters(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
-	struct quo_proof proof = {0};
+	struct quo_confirmation proof = {0};
 	const struct cfg_voter *voters;
 	size_t i, n, n_answers = 0;
 	int64_t *as_of_ms;
@@ -216,7 +216,7 @@
 		 */
 		if (has_store_contact(quo, state, now_ms))
 			break;
-		if (state->answer.vouches &&
+		if (state->answer.may_vote &&
 		    state->highest_version <= cfg_version(held))
 			as_of_ms[n_answers++] = state->answer.as_of_ms;
 	}
@@ -236,10 +236,10 @@
  * some peer holds a higher version.  That document must be adopted first, and
  * the answers counted by its own voter sets.
  */
-struct quo_proof
-quo_round(const struct quo *quo, const struct cfg *held, int64_t now_ms)
+struct quo_confirmation
+quo_confirm(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
-	struct quo_proof none = {0}, store, voters;
+	struct quo_confirmation none = {0}, store, voters;
 	GHashTableIter iter;
 	gpointer value;
 
--- a/src/version/quorum.h
+++ b/src/version/quorum.h
@@ -20,29 +20,29 @@
 	uint64_t incarnation;
 	uint64_t version;     /* of the configuration held */
 	int64_t store_age_ms; /* since its last store read, -1: never */
-	bool vouches;	      /* its answers count as votes */
+	bool may_vote;	      /* its answers count as votes */
 	int64_t as_of_ms;     /* when the request was sent */
 };
 
 struct quo *quo_new(int64_t freshness_ms);
 void quo_free(struct quo *quo);
-/* If the peer sent a newer document, call fresh_take() with it first. */
+/* If the peer sent a newer document, call fresh_update() with it first. */
 void quo_answer(
     struct quo *quo, const struct quo_answer *answer, int64_t now_ms);
 /* Records the status of this process; its as_of_ms is the current time. */
-void quo_self(struct quo *quo, const struct quo_answer *answer);
+void quo_own_answer(struct quo *quo, const struct quo_answer *answer);
 
 /* True if the document lists the entry as a voter that has not ended. */
-bool quo_vouches(const struct cfg *held, uint64_t incarnation);
+bool quo_may_vote(const struct cfg *held, uint64_t incarnation);
 
 /* What the latest answers confirm; as_of_ms is at most freshness_ms ago. */
-struct quo_proof {
+struct quo_confirmation {
 	bool confirmed;
 	uint64_t version; /* arguments for fresh_confirm() */
 	int64_t as_of_ms;
 };
 
-struct quo_proof quo_round(
+struct quo_confirmation quo_confirm(
     const struct quo *quo, const struct cfg *held, int64_t now_ms);
 
 /*
--- a/src/version/reader.c
+++ b/src/version/reader.c
@@ -48,7 +48,7 @@
 	cfg_unref(rdr->cfg);
 	rdr->cfg = cfg;
 	rdr->mod_revision = value->mod_revision;
-	fresh_take(rdr->fresh, cfg);
+	fresh_update(rdr->fresh, cfg);
 	return true;
 }
 
--- a/src/version/routes.h
+++ b/src/version/routes.h
@@ -26,7 +26,7 @@
 	 */
 	double stretch;
 	int64_t target_ms;
-	bool advised; /* an external service assigns its workers */
+	bool external_placement; /* an external service assigns its workers */
 };
 
 struct rts_options {
--- a/src/version/voters.h
+++ b/src/version/voters.h
@@ -23,7 +23,7 @@
 	const struct mem_entry *self;
 	/* incarnation that operators declare as ended; 0: none */
 	uint64_t ended;
-	vot_is_deregistered_fn is_deregistered; /* see mem_is_gone() */
+	vot_is_deregistered_fn is_deregistered; /* see mem_is_deregistered() */
 	void *ctx;
 };
 
--- a/tests/policy_replay.c
+++ b/tests/policy_replay.c
@@ -351,9 +351,9 @@
 	else if (strcmp(what, "free_slots") == 0)
 		got = place_free_slots(r->place, task.service);
 	else if (strcmp(what, "live") == 0)
-		got = place_has_live(r->place, task.service);
+		got = place_has_live_worker(r->place, task.service);
 	else if (strcmp(what, "room") == 0)
-		got = place_has_room(r->place, task.service);
+		got = place_has_capacity(r->place, task.service);
 	else if (strcmp(what, "run_ms") == 0)
 		got = place_expected_run_us(r->place, &task) / 1000;
 	else if (strcmp(what, "next_ms") == 0)
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -9,7 +9,7 @@
 	struct admit *adm;
 	struct cfg *cfg;
 	struct place *place;
-	struct adm_facts facts;
+	struct adm_snapshot snapshot;
 	uint32_t worker;
 };
 
@@ -44,7 +44,7 @@
 	cfg_unref(w->cfg);
 	w->cfg = cfg_parse(document, strlen(document), &st);
 	ck_assert_msg(w->cfg != NULL, "%s", st.message);
-	w->facts.cfg = w->cfg;
+	w->snapshot.cfg = w->cfg;
 	g_free(document);
 }
 
@@ -64,10 +64,10 @@
 	w->adm = adm_new();
 	w->place = place_new(&opts);
 	place_add(w->place, &worker, 0);
-	w->facts.current = true;
-	w->facts.live_entries = 1;
-	w->facts.is_live = is_live;
-	w->facts.place = w->place;
+	w->snapshot.config_confirmed = true;
+	w->snapshot.live_entries = 1;
+	w->snapshot.is_live = is_live;
+	w->snapshot.place = w->place;
 	configure(w, NULL);
 	return w;
 }
@@ -97,10 +97,10 @@
 		request.cores = (uint32_t)atoi(words[4]);
 		request.memory_mb = (uint64_t)atoi(words[5]);
 	}
-	w->facts.service_live = is_live(words[1], NULL);
-	code = adm_check(w->adm, &w->facts, &request, &why);
+	w->snapshot.service_live = is_live(words[1], NULL);
+	code = adm_check(w->adm, &w->snapshot, &request, &why);
 	if (code == REF_NONE) {
-		adm_take(w->adm, words[1], words[2], request.n_tasks);
+		adm_acquire(w->adm, words[1], words[2], request.n_tasks);
 		g_string_append(actual, "ok");
 		return;
 	}
@@ -122,13 +122,13 @@
 	else if (strcmp(words[0], "out") == 0)
 		configure(w, words[1]);
 	else if (strcmp(words[0], "entries") == 0)
-		w->facts.live_entries = (uint32_t)atoi(words[1]);
+		w->snapshot.live_entries = (uint32_t)atoi(words[1]);
 	else if (strcmp(words[0], "waiting") == 0)
-		w->facts.waiting = (uint32_t)atoi(words[1]);
+		w->snapshot.waiting = (uint32_t)atoi(words[1]);
 	else if (strcmp(words[0], "wait_ms") == 0)
-		w->facts.expected_wait_ms = atoi(words[1]);
+		w->snapshot.expected_wait_ms = atoi(words[1]);
 	else if (strcmp(words[0], "stale") == 0)
-		w->facts.current = false;
+		w->snapshot.config_confirmed = false;
 }
 
 /* Each case says which failure it guards against. */
--- a/tests/test_answertime.c
+++ b/tests/test_answertime.c
@@ -17,7 +17,7 @@
 	int i;
 
 	for (i = 0; i < 50; i++)
-		ans_came(&ans, 3);
+		ans_received(&ans, 3);
 	ck_assert_int_eq((int)ans_timeout_ms(&ans), 25);
 	ans_missed(&ans);
 	ck_assert_int_eq((int)ans_timeout_ms(&ans), 25);
@@ -31,7 +31,7 @@
 	int i;
 
 	for (i = 0; i < 50; i++)
-		ans_came(&ans, i % 2 == 0 ? 20 : 60);
+		ans_received(&ans, i % 2 == 0 ? 20 : 60);
 	ck_assert_int_gt((int)ans_timeout_ms(&ans), 60);
 }
 END_TEST
@@ -42,14 +42,14 @@
 	struct ans ans = {0};
 	int i;
 
-	ans_came(&ans, 3);
+	ans_received(&ans, 3);
 	for (i = 0; i < 2; i++)
 		ans_missed(&ans);
 	ck_assert_int_eq((int)ans_timeout_ms(&ans), 50);
 	for (i = 0; i < 40; i++)
 		ans_missed(&ans);
 	ck_assert_int_eq((int)ans_timeout_ms(&ans), 250);
-	ans_came(&ans, 3);
+	ans_received(&ans, 3);
 	ck_assert_int_eq((int)ans_timeout_ms(&ans), 25);
 }
 END_TEST
--- a/tests/test_callers.c
+++ b/tests/test_callers.c
@@ -61,17 +61,17 @@
 }
 
 static void
-fill_facts(const char *service, struct adm_facts *facts, void *ctx)
+fill_snapshot(const char *service, struct adm_snapshot *snapshot, void *ctx)
 {
 	(void)service;
 	(void)ctx;
-	memset(facts, 0, sizeof(*facts));
-	facts->cfg = world.cfg;
-	facts->current = true;
-	facts->live_entries = 1;
-	facts->service_live = true;
-	facts->is_live = is_live;
-	facts->place = world.place;
+	memset(snapshot, 0, sizeof(*snapshot));
+	snapshot->cfg = world.cfg;
+	snapshot->config_confirmed = true;
+	snapshot->live_entries = 1;
+	snapshot->service_live = true;
+	snapshot->is_live = is_live;
+	snapshot->place = world.place;
 }
 
 static enum api_owner
@@ -112,7 +112,7 @@
 on_ended(struct job *job, void *ctx)
 {
 	(void)ctx;
-	api_ended(world.api, job);
+	api_job_ended(world.api, job);
 }
 
 static void
@@ -181,7 +181,7 @@
 	    .counters = world.counters,
 	    .traces = world.traces,
 	    .limits = {10, 1000},
-	    .facts = fill_facts,
+	    .snapshot = fill_snapshot,
 	    .owner = find_owner,
 	    .forward = forward};
 	struct pass_options pass = {.dispatch = world.dispatch,
--- a/tests/test_change.c
+++ b/tests/test_change.c
@@ -50,11 +50,11 @@
 			    nodes[j].chg == NULL || nodes[i].cut ||
 			    nodes[j].cut)
 				continue;
-			answer = chg_self(nodes[j].chg);
-			fresh_take(
+			answer = chg_own_answer(nodes[j].chg);
+			fresh_update(
 			    nodes[i].fresh, fresh_config(nodes[j].fresh));
 			quo_answer(nodes[i].quo, &answer, clk_now_ms());
-			chg_tick(nodes[i].chg);
+			chg_evaluate(nodes[i].chg);
 		}
 	}
 	return G_SOURCE_CONTINUE;
@@ -192,10 +192,10 @@
 		chg_apply(chg, parse_number(words[2]), words[3], text, on_done,
 		    &outcome);
 	else if (strcmp(words[0], "out") == 0 || strcmp(words[0], "in") == 0)
-		chg_out(chg, CFG_FAILURE_DOMAIN, words[2],
+		chg_set_out(chg, CFG_FAILURE_DOMAIN, words[2],
 		    strcmp(words[0], "out") == 0, words[3], on_done, &outcome);
 	else if (strcmp(words[0], "ended") == 0)
-		chg_ended(
+		chg_mark_ended(
 		    chg, parse_number(words[2]), words[3], on_done, &outcome);
 	else
 		return false;
@@ -284,8 +284,8 @@
 	chg_apply(nodes[0].chg, 0, "c1", text, on_done, &first);
 	ck_assert_int_eq(await_outcome(&first).st.code, ST_OK);
 	for (i = 0; i < 9; i++)
-		chg_out(nodes[i % 3].chg, CFG_WORKER, hn_str("w%d", i), true,
-		    hn_str("o%d", i), on_done, &outcomes[i]);
+		chg_set_out(nodes[i % 3].chg, CFG_WORKER, hn_str("w%d", i),
+		    true, hn_str("o%d", i), on_done, &outcomes[i]);
 	for (i = 0; i < 9; i++)
 		ck_assert_msg(await_outcome(&outcomes[i]).st.code == ST_OK,
 		    "%s", outcomes[i].st.message);
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -100,7 +100,7 @@
 	struct cfg *cfg = cfg_parse(document, strlen(document), &st);
 
 	ck_assert_msg(cfg != NULL, "%s", st.message);
-	fresh_take(w->fresh, cfg);
+	fresh_update(w->fresh, cfg);
 	cfg_unref(cfg);
 	g_free(document);
 	pool_refresh(w->pool, w->now_ms);
@@ -198,7 +198,7 @@
 	w->jobs[atoi(spec->id)] = job_ref(job);
 	for (i = 0; i < spec->n_tasks; i++)
 		g_bytes_unref(tasks[i].payload);
-	rty_request(w->retry);
+	rty_count_request(w->retry);
 	dsp_submit(w->dispatch, job);
 }
 
@@ -279,7 +279,7 @@
 	    .memory_mb = words[4] != NULL ? (uint64_t)atoi(words[4]) : 1};
 
 	g_snprintf(a->name, sizeof(a->name), "a%.1s", words[1]);
-	pool_up(w->pool, a, &worker, w->now_ms);
+	pool_set_connected(w->pool, a, &worker, w->now_ms);
 }
 
 static bool
@@ -298,7 +298,7 @@
 	} else if (strcmp(name, "agent") == 0) {
 		agent_up(w, words);
 	} else if (strcmp(name, "down") == 0) {
-		pool_down(w->pool, &w->agents[atoi(words[1])]);
+		pool_set_disconnected(w->pool, &w->agents[atoi(words[1])]);
 	} else if (strcmp(name, "break") == 0) {
 		w->agents[atoi(words[1])].broken = true;
 	} else {
@@ -319,7 +319,7 @@
 	else if (strcmp(words[0], "cancel") == 0)
 		dsp_cancel(w->dispatch, w->jobs[atoi(words[1])], w->now_ms);
 	else if (strcmp(words[0], "run") == 0)
-		dsp_run(w->dispatch, w->now_ms);
+		dsp_place_tasks(w->dispatch, w->now_ms);
 	else if (strcmp(words[0], "open") == 0)
 		g_string_append_printf(actual, "%u open %u waiting %d next",
 		    dsp_outstanding(w->dispatch), dsp_waiting(w->dispatch, "s"),
--- a/tests/test_fresh.c
+++ b/tests/test_fresh.c
@@ -35,9 +35,9 @@
 
 	fresh_on_changed(fresh, count_change, &changes);
 	ck_assert_uint_eq(fresh_version(fresh), 0);
-	fresh_take(fresh, five);
-	fresh_take(fresh, four);
-	fresh_take(fresh, five);
+	fresh_update(fresh, five);
+	fresh_update(fresh, four);
+	fresh_update(fresh, five);
 	ck_assert_uint_eq(fresh_version(fresh), 5);
 	ck_assert_int_eq(changes, 1);
 	fresh_free(fresh);
@@ -60,7 +60,7 @@
 	ck_assert(!fresh_is_current(fresh, 1000));
 	fresh_free(fresh);
 	fresh = fresh_new(3000);
-	fresh_take(fresh, five);
+	fresh_update(fresh, five);
 	ck_assert_int_eq(fresh_age_ms(fresh, 1000), -1);
 	fresh_confirm(fresh, 6, 1000);
 	ck_assert(!fresh_is_current(fresh, 1000));
--- a/tests/test_holder.c
+++ b/tests/test_holder.c
@@ -163,9 +163,9 @@
 	    .wp = &w->wp,
 	    .lease_ms = LEASE_MS,
 	    .token = 10,
-	    .wanted = on_wanted,
+	    .lease_needed = on_wanted,
 	    .report = on_report,
-	    .lost = on_lost,
+	    .runs_lost = on_lost,
 	    .changed = on_changed,
 	    .ctx = w,
 	};
@@ -241,7 +241,7 @@
 		} else {
 			ended[report.n_ended].number = atoi(words[i + 1]);
 			ended[report.n_ended].task = words[i + 2];
-			ended[report.n_ended].how = WP_ENDED_STOPPED;
+			ended[report.n_ended].end_kind = WP_ENDED_STOPPED;
 			ended[report.n_ended++].run = atoi(words[i + 3]);
 			i += 4;
 		}
@@ -289,7 +289,7 @@
 	else if (strcmp(words[0], "token") == 0)
 		say(w, "%d", (int)w->token);
 	else if (strcmp(words[0], "left") == 0)
-		hold_left(w->hold, "i");
+		hold_worker_left(w->hold, "i");
 	else if (strcmp(words[0], "next") == 0)
 		wait_for_call(w);
 	else if (strcmp(words[0], "ready") == 0)
--- a/tests/test_jsonc.c
+++ b/tests/test_jsonc.c
@@ -51,7 +51,7 @@
 	ck_assert_str_eq(
 	    st.message, "t:1:2: n: expected an integer from 6 to 9, got 5");
 	ck_assert(!jsonc_name(&root, "s", JSONC_REQUIRED, &s, &st));
-	ck_assert(jsonc_item(&root, "a", 0, &item, &st));
+	ck_assert(jsonc_array_object(&root, "a", 0, &item, &st));
 	ck_assert(!jsonc_string(&item, "k", JSONC_REQUIRED, &s, &st));
 	ck_assert_str_eq(
 	    st.message, "t:1:29: a[0].k: expected a string, got int");
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -92,7 +92,7 @@
 	    .may_start = may_start,
 	    .start = on_start,
 	    .stop = on_stop,
-	    .look = on_look,
+	    .request_report = on_look,
 	    .result = on_result,
 	    .ctx = t,
 	};
@@ -145,12 +145,12 @@
 	int i;
 
 	for (i = 2; w[i] != NULL; i++) {
-		char *how = strchr(w[i], '=');
+		char *end_kind = strchr(w[i], '=');
 		char *dot = strchr(w[i], '.');
 
 		ck_assert_ptr_nonnull(dot);
 		*dot = '\0';
-		if (how == NULL) {
+		if (end_kind == NULL) {
 			char *percent = strchr(dot + 1, '@');
 
 			running[r.n_running++] = (struct wp_running){
@@ -160,12 +160,13 @@
 						       : number(percent + 1)};
 			continue;
 		}
-		*how = '\0';
+		*end_kind = '\0';
 		ended[r.n_ended] =
 		    (struct wp_ended){.number = (int64_t)r.n_ended + 1,
 			.task = w[i],
 			.run = number(dot + 1),
-			.how = index_of(ends, G_N_ELEMENTS(ends), how + 1)};
+			.end_kind =
+			    index_of(ends, G_N_ELEMENTS(ends), end_kind + 1)};
 		r.n_ended++;
 	}
 	r.answer.clock_ms = t->now_ms;
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -27,7 +27,7 @@
 static int discarded;
 
 static void
-take(void *data, void *ctx)
+handle_message(void *data, void *ctx)
 {
 	struct message *message = data;
 	struct inbox *inbox = ctx;
@@ -69,7 +69,7 @@
 open_inbox(struct inbox *inbox)
 {
 	struct mbx_options opts = {
-	    .take = take, .discard = discard, .ctx = inbox};
+	    .handle_message = handle_message, .discard = discard, .ctx = inbox};
 
 	inbox->mbx = mbx_new(&opts);
 }
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -93,18 +93,18 @@
 
 	setup();
 	ck_assert(await_list_size(mems[0], 2) && await_list_size(mems[1], 2));
-	mem_leave(mems[1], on_deregistered, &deregistered);
+	mem_deregister(mems[1], on_deregistered, &deregistered);
 	ck_assert(hn_wait_until(deregistered > 0, 1000));
 	ck_assert_int_eq(deregistered, 1);
 	ck_assert(await_list_size(mems[0], 1));
-	ck_assert(!mem_is_gone(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 2, clk_now_ms()));
 	mems[2] = start_member(3, "e3");
 	ck_assert(await_list_size(mems[0], 2));
 	mem_free(mems[2]);
 	ck_assert(await_list_size(mems[0], 1));
 	hn_sleep(2600);
-	ck_assert(mem_is_gone(mems[0], 2, clk_now_ms()));
-	ck_assert(!mem_is_gone(mems[0], 1, clk_now_ms()));
+	ck_assert(mem_is_deregistered(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 1, clk_now_ms()));
 	teardown();
 }
 END_TEST
@@ -120,7 +120,7 @@
 	changes = 0;
 	store_process_control("expire");
 	ck_assert(await_list_size(mems[0], 0));
-	ck_assert(!mem_is_gone(mems[0], 2, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 2, clk_now_ms()));
 	ck_assert(hn_wait_until(changes >= 2 && mem_is_registered(mems[0]) &&
 				    mem_is_registered(mems[1]) &&
 				    mem_find(mems[0], 1) != NULL &&
@@ -141,7 +141,7 @@
 	store_process_control("outage?mode=hang");
 	hn_sleep(2000);
 	ck_assert(await_list_size(mems[0], 2));
-	ck_assert(!mem_is_gone(mems[0], 77, clk_now_ms()));
+	ck_assert(!mem_is_deregistered(mems[0], 77, clk_now_ms()));
 	store_process_control("outage?mode=off");
 	changes = 0;
 	hn_sleep(1500);
--- a/tests/test_outcome.c
+++ b/tests/test_outcome.c
@@ -69,11 +69,11 @@
 	const char *command = words[0];
 
 	if (strcmp(command, "open") == 0)
-		out_open(out, entry);
+		out_connected(out, entry);
 	else if (strcmp(command, "close") == 0)
-		out_close(out, entry, (int64_t)n);
+		out_disconnected(out, entry, (int64_t)n);
 	else if (strcmp(command, "gone") == 0)
-		out_gone(out, entry);
+		out_forget(out, entry);
 	else if (strcmp(command, "start") == 0)
 		g_string_append(actual, verdicts[out_start(out, entry, n)]);
 	else if (strcmp(command, "running") == 0)
@@ -92,7 +92,8 @@
 	else if (strcmp(command, "batch") == 0)
 		batch(out, entry, n == 0 ? MAX_BYTES : n, actual);
 	else if (strcmp(command, "records") == 0)
-		g_string_append_printf(actual, "%zu", out_records(out, entry));
+		g_string_append_printf(
+		    actual, "%zu", out_record_count(out, entry));
 	else
 		ck_abort_msg("command %s", command);
 }
@@ -117,7 +118,7 @@
 		uint64_t next = 1, seq, highest = 0;
 		u_int j;
 
-		out_open(out, 1);
+		out_connected(out, 1);
 		for (i = 0; i < STEPS; i++) {
 			seq =
 			    (uint64_t)g_rand_int_range(rand, 1, (int)next + 1);
@@ -159,16 +160,16 @@
 				out_ack(out, 1, highest);
 				break;
 			case 5:
-				out_close(out, 1, i);
-				out_open(out, 1);
+				out_disconnected(out, 1, i);
+				out_connected(out, 1);
 				break;
 			case 6: /* another incarnation pushes this one out */
 				if (g_rand_int_range(rand, 0, 10) > 0)
 					break;
-				out_close(out, 1, i);
-				out_open(out, 2);
-				out_close(out, 2, i);
-				out_open(out, 1);
+				out_disconnected(out, 1, i);
+				out_connected(out, 2);
+				out_disconnected(out, 2, i);
+				out_connected(out, 1);
 				break;
 			default:
 				out_seal(out, 1, next);
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -100,15 +100,15 @@
 	if (strcmp(words[3], "store=never") != 0)
 		answer.store_age_ms = strtoll(words[3] + 6, NULL, 10);
 	answer.as_of_ms = strtoll(words[4] + 3, NULL, 10);
-	answer.vouches =
-	    quo_vouches(t->docs[answer.version], answer.incarnation);
+	answer.may_vote =
+	    quo_may_vote(t->docs[answer.version], answer.incarnation);
 	quo_answer(t->observer->quo, &answer, answer.as_of_ms);
 }
 
 static void
 print_confirmation(struct trace *t, char **words)
 {
-	struct quo_proof proof = quo_round(
+	struct quo_confirmation proof = quo_confirm(
 	    t->observer->quo, t->observer->held, strtoll(words[1], NULL, 10));
 
 	if (proof.confirmed)
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -27,7 +27,7 @@
 
 	if (strcmp(words[0], "requests") == 0) {
 		for (i = 0; i < atoi(words[1]); i++)
-			rty_request(ctx);
+			rty_count_request(ctx);
 		return;
 	}
 	if (strcmp(words[1], "not_started") == 0)
--- a/tests/test_runqueue.c
+++ b/tests/test_runqueue.c
@@ -13,7 +13,7 @@
 /* The configuration counts as fresh until fresh_until_ms. */
 struct trace {
 	struct rq *rq;
-	struct rq_gate gate;
+	struct rq_conditions cond;
 	int64_t now_ms;
 	int64_t fresh_until_ms;
 };
@@ -25,8 +25,8 @@
 	struct trace *t = g_new0(struct trace, 1);
 
 	t->rq = rq_new(&opts);
-	t->gate.service = "desk";
-	t->gate.slots = 2;
+	t->cond.service = "desk";
+	t->cond.slots = 2;
 	t->fresh_until_ms = 3000;
 	return t;
 }
@@ -39,7 +39,7 @@
 	uint64_t entry;
 
 	for (entry = 1; entry <= 2; entry++) {
-		while ((task = rq_drop(t->rq, entry)) != NULL)
+		while ((task = rq_take_of_entry(t->rq, entry)) != NULL)
 			g_free(task);
 	}
 	rq_free(t->rq);
@@ -59,7 +59,7 @@
 	task->service = "desk";
 	if (words[4] != NULL)
 		task->bytes = strtoull(words[4], NULL, 10);
-	reason = rq_push(t->rq, task, &t->gate, t->now_ms);
+	reason = rq_push(t->rq, task, &t->cond, t->now_ms);
 	if (reason == WIRE_REASON_NONE)
 		return;
 	g_string_append(actual, reasons[reason]);
@@ -72,8 +72,8 @@
 	enum wire_reason reason;
 	struct rq_task *task;
 
-	t->gate.fresh = t->now_ms <= t->fresh_until_ms;
-	while ((task = rq_step(t->rq, &t->gate, t->now_ms, &reason)) != NULL) {
+	t->cond.fresh = t->now_ms <= t->fresh_until_ms;
+	while ((task = rq_next(t->rq, &t->cond, t->now_ms, &reason)) != NULL) {
 		g_string_append_printf(
 		    actual, "%d:%s ", (int)task->seq, reasons[reason]);
 		g_free(task);
@@ -109,23 +109,23 @@
 	else if (strcmp(words[0], "finished") == 0)
 		rq_finished(t->rq);
 	else if (strcmp(words[0], "out") == 0)
-		t->gate.out = n != 0;
+		t->cond.out = n != 0;
 	else if (strcmp(words[0], "draining") == 0)
-		t->gate.draining = n != 0;
+		t->cond.draining = n != 0;
 	else if (strcmp(words[0], "service") == 0)
-		t->gate.service =
+		t->cond.service =
 		    strcmp(arg, "-") == 0 ? NULL : g_intern_string(arg);
 	else if (strcmp(words[0], "slots") == 0)
-		t->gate.slots = (uint32_t)n;
+		t->cond.slots = (uint32_t)n;
 	else if (strcmp(words[0], "foreign") == 0)
-		t->gate.slots_in_use = (uint32_t)n;
+		t->cond.slots_in_use = (uint32_t)n;
 	else if (strcmp(words[0], "withdraw") == 0)
 		take(rq_withdraw(t->rq, n, strtoull(words[2], NULL, 10)),
 		    actual);
 	else if (strcmp(words[0], "drop") == 0)
-		take(rq_drop(t->rq, n), actual);
+		take(rq_take_of_entry(t->rq, n), actual);
 	else if (strcmp(words[0], "load") == 0) {
-		rq_load(t->rq, &t->gate, &load);
+		rq_load(t->rq, &t->cond, &load);
 		g_string_append_printf(actual, "%u/%u+%u%s", load.busy,
 		    load.slots, load.queued, load.draining ? " draining" : "");
 	} else
--- a/tests/test_sched.c
+++ b/tests/test_sched.c
@@ -72,16 +72,16 @@
 }
 
 static void
-on_setback(void *data, const struct sch_setback *setback, void *ctx)
+on_setback(void *data, const struct sch_failed_start *start_failed, void *ctx)
 {
 	(void)data;
-	(void)setback;
+	(void)start_failed;
 	(void)ctx;
 }
 
 static void
-on_ended(void *waiter, const char *job, enum sch_end end, const char *reason,
-    void *ctx)
+on_ended(void *waiter, const char *job, enum sch_job_end end,
+    const char *reason, void *ctx)
 {
 	(void)waiter;
 	(void)reason;
@@ -111,12 +111,12 @@
 	struct trace *t = g_new0(struct trace, 1);
 	struct sch_options opts = {
 	    .cross_rack_factor = 1.5,
-	    .resolve_ms = RESOLVE_MS,
+	    .lost_run_timeout_ms = RESOLVE_MS,
 	    .max_jobs = 8,
 	    .start = on_start,
 	    .flush = on_flush,
 	    .cancel = on_cancel,
-	    .setback = on_setback,
+	    .start_failed = on_setback,
 	    .ended = on_ended,
 	    .ctx = t,
 	};
@@ -127,7 +127,7 @@
 	t->links =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
 	t->out = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	wks_set_out(sch_workers(t->sch), is_out, t);
+	wks_set_out_check(sch_workers(t->sch), is_out, t);
 	return t;
 }
 
@@ -216,7 +216,7 @@
 	    .target_ms = 80};
 	struct sch_request request = {.queue = &queue, .waiter = t};
 	struct wk_job *spec = g_new0(struct wk_job, 1);
-	enum sch_verdict verdict;
+	enum sch_submit_result verdict;
 	guint i;
 
 	spec->id = g_strdup(w[1]);
@@ -278,19 +278,19 @@
 	else if (strcmp(w[0], "job") == 0)
 		job(t, w);
 	else if (strcmp(w[0], "run") == 0)
-		sch_run(t->sch, t->now_ms);
+		sch_place_tasks(t->sch, t->now_ms);
 	else if (strcmp(w[0], "result") == 0)
 		result(t, w);
 	else if (strcmp(w[0], "cancel") == 0)
 		sch_cancel(t->sch, w[1]);
 	else if (strcmp(w[0], "give_up") == 0)
-		sch_give_up_all(t->sch, "");
+		sch_abort_all(t->sch, "");
 	else if (strcmp(w[0], "expected") == 0)
 		say(t, "%d", (int)t->expected_ms);
 	else if (strcmp(w[0], "waiting") == 0)
-		say(t, sch_is_waiting(t->sch) ? "yes" : "no");
+		say(t, sch_has_waiting_tasks(t->sch) ? "yes" : "no");
 	else if (strcmp(w[0], "pending") == 0)
-		say(t, "%u", sch_pending(t->sch, "q"));
+		say(t, "%u", sch_n_unsent_jobs(t->sch, "q"));
 	else
 		ck_abort_msg("command %s", w[0]);
 }
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -42,7 +42,7 @@
 		    "%s", parents[i].traceparent);
 		ck_assert_str_eq(span.parent_id, parents[i].valid ? SPAN : "");
 		ck_assert_str_ne(span.span_id, SPAN);
-		trc_format(&span, out);
+		trc_format_traceparent(&span, out);
 		trc_start(&child, out);
 		ck_assert_str_eq(child.trace_id, span.trace_id);
 		ck_assert_str_eq(child.parent_id, span.span_id);
--- a/tests/test_worklink.c
+++ b/tests/test_worklink.c
@@ -17,7 +17,7 @@
 };
 
 static void
-on_beat(struct run_beat_args *args, void *ctx)
+on_beat(struct run_heartbeat_args *args, void *ctx)
 {
 	(void)ctx;
 	memset(args, 0, sizeof(*args));
@@ -96,7 +96,7 @@
 	struct wlk_options opts = {
 	    .address = agent.address,
 	    .name = "e0",
-	    .beat = on_beat,
+	    .fill_heartbeat = on_beat,
 	    .worker = on_worker,
 	    .update = on_update,
 	    .closed = on_closed,
