--- a/src/version/change.c
+++ b/src/version/change.c
@@ -403,15 +403,16 @@
 	struct cfg *held = fresh_config(chg->opts.fresh);
 	struct quo_answer self = chg_own_answer(chg);
 	struct cfg_voter missing[1];
-	struct quo_confirmation proof;
+	struct quo_confirmation confirmation;
 	size_t n;
 
 	quo_own_answer(chg->opts.quo, &self);
 	if (held == NULL)
 		return;
-	proof = quo_confirm(chg->opts.quo, held, self.as_of_ms);
-	if (proof.confirmed)
-		fresh_confirm(chg->opts.fresh, proof.version, proof.as_of_ms);
+	confirmation = quo_confirm(chg->opts.quo, held, self.as_of_ms);
+	if (confirmation.confirmed)
+		fresh_confirm(chg->opts.fresh, confirmation.version,
+		    confirmation.as_of_ms);
 	if (!is_accepted(chg, cfg_version(held)) &&
 	    quo_accepted(
 		chg->opts.quo, held, cfg_version(held), missing, 1, &n))
--- a/src/version/change.h
+++ b/src/version/change.h
@@ -62,7 +62,7 @@
  * quo_answer(); a timer also runs it every 100 ms.
  */
 void chg_evaluate(struct chg *chg);
-/* This entry's answer to a peer; vouches is false after chg_stop_voting(). */
+/* This entry's answer to a peer; may_vote is false after chg_stop_voting(). */
 struct quo_answer chg_own_answer(const struct chg *chg);
 /*
  * Call this before the RPC listener closes: a new process that listens on the
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -162,7 +162,7 @@
 static struct quo_confirmation
 confirm_by_store(const struct quo *quo, int64_t now_ms)
 {
-	struct quo_confirmation proof = {0};
+	struct quo_confirmation confirmation = {0};
 	GHashTableIter iter;
 	gpointer value;
 
@@ -175,13 +175,13 @@
 		if (answer->store_age_ms < 0 ||
 		    now_ms - as_of_ms > quo->freshness_ms)
 			continue;
-		if (proof.confirmed && proof.as_of_ms >= as_of_ms)
+		if (confirmation.confirmed && confirmation.as_of_ms >= as_of_ms)
 			continue;
-		proof.confirmed = true;
-		proof.version = answer->version;
-		proof.as_of_ms = as_of_ms;
+		confirmation.confirmed = true;
+		confirmation.version = answer->version;
+		confirmation.as_of_ms = as_of_ms;
 	}
-	return proof;
+	return confirmation;
 }
 
 /*
@@ -194,13 +194,13 @@
 static struct quo_confirmation
 confirm_by_voters(const struct quo *quo, const struct cfg *held, int64_t now_ms)
 {
-	struct quo_confirmation proof = {0};
+	struct quo_confirmation confirmation = {0};
 	const struct cfg_voter *voters;
 	size_t i, n, n_answers = 0;
 	int64_t *as_of_ms;
 
 	if (cfg_voter_sets(held) == 0)
-		return proof;
+		return confirmation;
 	voters = cfg_voters(held, cfg_voter_sets(held) - 1, &n);
 	as_of_ms = g_new0(int64_t, n + 1);
 	for (i = 0; i < n; i++) {
@@ -223,12 +223,12 @@
 	if (i == n && n_answers > n / 2) {
 		qsort(as_of_ms, n_answers, sizeof(as_of_ms[0]),
 		    compare_descending);
-		proof.confirmed = true;
-		proof.version = cfg_version(held);
-		proof.as_of_ms = as_of_ms[n / 2];
+		confirmation.confirmed = true;
+		confirmation.version = cfg_version(held);
+		confirmation.as_of_ms = as_of_ms[n / 2];
 	}
 	g_free(as_of_ms);
-	return proof;
+	return confirmation;
 }
 
 /*
--- a/tests/test_mirror.c
+++ b/tests/test_mirror.c
@@ -156,7 +156,7 @@
 		run_answer(t, w);
 	else if (strcmp(w[0], "unavailable") == 0)
 		fail_call(t, ST_UNAVAILABLE);
-	else if (strcmp(w[0], "gone") == 0)
+	else if (strcmp(w[0], "compacted") == 0)
 		fail_call(t, ST_NOT_FOUND);
 	else if (strcmp(w[0], "retry") == 0) {
 		while (t->fn == NULL)
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -108,12 +108,12 @@
 static void
 print_confirmation(struct trace *t, char **words)
 {
-	struct quo_confirmation proof = quo_confirm(
+	struct quo_confirmation confirmation = quo_confirm(
 	    t->observer->quo, t->observer->held, strtoll(words[1], NULL, 10));
 
-	if (proof.confirmed)
+	if (confirmation.confirmed)
 		g_string_append_printf(t->out, "confirmed %d as of %d\n",
-		    (int)proof.version, (int)proof.as_of_ms);
+		    (int)confirmation.version, (int)confirmation.as_of_ms);
 	else
 		g_string_append(t->out, "nothing\n");
 }
