--- a/src/version/fresh.c
+++ b/src/version/fresh.c
@@ -71,7 +71,8 @@
 
 /*
  * Advances the confirmation time.  The version held may be higher than the one
- * confirmed: no version above either was accepted at as_of_ms.
+ * confirmed: as nothing above the confirmed version was accepted at as_of_ms,
+ * nothing above the version held was.
  */
 void
 fresh_confirm(struct fresh *fresh, uint64_t version, int64_t as_of_ms)
--- a/src/version/keyspace.h
+++ b/src/version/keyspace.h
@@ -39,7 +39,10 @@
 	/* Lists keys greater than after_key; "": from the first key. */
 	void (*list)(void *store, const char *prefix, const char *after_key,
 	    ks_page_fn fn, void *ctx);
-	/* Waits up to wait_ms for changes after the revision after. */
+	/*
+	 * Returns the changes after a revision; waits up to wait_ms for the
+	 * first.
+	 */
 	void (*watch)(void *store, const char *prefix, int64_t after,
 	    int64_t wait_ms, ks_page_fn fn, void *ctx);
 	void (*put)(void *store, const char *key, const char *data, size_t len,
--- a/src/version/members.c
+++ b/src/version/members.c
@@ -37,7 +37,7 @@
 	bool poll_active;
 	int64_t poll_sent_ms;
 	int64_t last_poll_ms;	  /* time of the last answered poll */
-	int64_t gapless_since_ms; /* first answered poll after the last gap */
+	int64_t gapless_since_ms; /* first poll answered after a gap */
 	GArray *list;		  /* struct mem_entry, sorted */
 	uint64_t digest;
 	GHashTable *removed; /* incarnation -> time it left the list */
@@ -315,7 +315,7 @@
 	}
 	/*
 	 * An entry may have registered and left unnoticed during a gap of more
-	 * than two poll periods.
+	 * than two poll periods, so the time without gaps starts anew.
 	 */
 	if (mem->last_poll_ms == 0 ||
 	    mem->poll_sent_ms - mem->last_poll_ms > 2 * mem->poll_ms)
--- a/src/version/mirror.c
+++ b/src/version/mirror.c
@@ -4,7 +4,10 @@
 #include "version/mirror.h"
 
 #define BACKOFF_MIN_MS 50
-/* 800 ms bring a copy up to date within two seconds of the end of an outage. */
+/*
+ * With delays of up to 800 ms a copy is up to date within two seconds after the
+ * end of an outage.
+ */
 #define BACKOFF_MAX_MS 800
 
 struct mir {
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -156,8 +156,8 @@
 
 /*
  * Confirms by the newest store read of any entry.  After that read the entry
- * held at least the version committed last, so no version above its own was
- * accepted when the read was sent.
+ * held at least the newest version committed before it, so no version above its
+ * own had been accepted when the read was sent.
  */
 static struct quo_confirmation
 confirm_by_store(const struct quo *quo, int64_t now_ms)
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -147,7 +147,8 @@
 
 static const struct {
 	const char *name;
-	step_fn before, after, restore; /* the change; the check of the bound */
+	/* Run before the change, after it, and after the checks. */
+	step_fn before, after, restore;
 	int run_ms;
 } rows[] = {
     {"short tasks", NULL, NULL, NULL, 50},
--- a/tests/test_etcd.c
+++ b/tests/test_etcd.c
@@ -68,7 +68,9 @@
 	return strcmp(word, "kept+1") == 0 ? kept_number + 1 : atoi(word);
 }
 
-/* Makes a call of the store; false for another command. */
+/*
+ * Runs a command that calls the store; returns false if it is another command.
+ */
 static bool
 run_store_command(char **words)
 {
