--- a/src/version/routes.c
+++ b/src/version/routes.c
@@ -6,7 +6,7 @@
 struct rts {
 	int refs;
 	struct rts_options opts;
-	GHashTable *by_host; /* lower case host to GPtrArray of queues */
+	GHashTable *by_host; /* lower-case host -> GPtrArray of queues */
 };
 
 void
@@ -22,18 +22,18 @@
 index_queue(struct rts *rts, struct rts_queue *queue)
 {
 	char *host = g_ascii_strdown(queue->host, -1);
-	GPtrArray *same = g_hash_table_lookup(rts->by_host, host);
+	GPtrArray *queues = g_hash_table_lookup(rts->by_host, host);
 
-	if (same == NULL) {
-		same = g_ptr_array_new();
-		g_hash_table_insert(rts->by_host, host, same);
+	if (queues == NULL) {
+		queues = g_ptr_array_new();
+		g_hash_table_insert(rts->by_host, host, queues);
 	} else {
 		g_free(host);
 	}
-	g_ptr_array_add(same, queue);
+	g_ptr_array_add(queues, queue);
 }
 
-/* Makes a version with one reference. */
+/* Returns a table with one reference. */
 struct rts *
 rts_new(const struct rts_options *opts)
 {
@@ -56,7 +56,7 @@
 	return rts;
 }
 
-/* Drops a reference; NULL is allowed. */
+/* NULL is allowed. */
 void
 rts_unref(struct rts *rts)
 {
@@ -94,15 +94,15 @@
 {
 	const struct rts_queue *best = NULL;
 	g_autofree char *name = NULL;
-	GPtrArray *same;
+	GPtrArray *queues;
 	guint i;
 
 	if (host == NULL)
 		return NULL;
 	name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
-	same = g_hash_table_lookup(rts->by_host, name);
-	for (i = 0; same != NULL && i < same->len; i++) {
-		const struct rts_queue *queue = same->pdata[i];
+	queues = g_hash_table_lookup(rts->by_host, name);
+	for (i = 0; queues != NULL && i < queues->len; i++) {
+		const struct rts_queue *queue = queues->pdata[i];
 
 		if (g_str_has_prefix(path, queue->prefix) &&
 		    (best == NULL ||
