--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -140,8 +140,9 @@
 	if (service->max_memory_mb != 0)
 		fits = fits && request->memory_mb <= service->max_memory_mb;
 	/*
-	 * Configured limits take precedence, since the workers that could run
-	 * the task may be disconnected at the moment.
+	 * Without configured limits, the task must fit a worker that this entry
+	 * knows.  With them it need not, since a larger worker may only be
+	 * disconnected at the moment.
 	 */
 	if (service->max_cores == 0 && service->max_memory_mb == 0 &&
 	    snapshot->service_live)
--- a/src/request/api.c
+++ b/src/request/api.c
@@ -20,7 +20,7 @@
 	struct job *job; /* NULL for a forwarded call */
 	uint64_t waiter; /* of job_wait(); 0: none */
 	guint timer;	 /* limits the wait */
-	bool cancels;	 /* DELETE: a cancelled job is a success, 200 or 202 */
+	bool cancels;	 /* DELETE: a cancelled job is answered 200 or 202 */
 	struct trc_context span;
 	int64_t start_wall_us;
 	int64_t start_ns;
@@ -219,7 +219,7 @@
 		(*api->failed)++;
 }
 
-/* identity has the id of the job, its counter and the digest of the body. */
+/* identity has only the id, the counter in the id and the body's digest set. */
 static struct api_call *
 submit_form(struct api_call *call, const struct api_request *request,
     const struct jf_submission *form, const struct job_spec *identity)
--- a/src/request/api.h
+++ b/src/request/api.h
@@ -28,7 +28,7 @@
 	const void *body;
 	size_t body_len;
 	const char *traceparent; /* may be NULL */
-	bool forwarded;		 /* by another entry, so never again */
+	bool forwarded; /* came from another entry; not forwarded again */
 };
 
 /* Runs exactly once unless cancelled; body is valid only while it runs. */
@@ -41,7 +41,7 @@
 	API_OWNER_HERE,
 	API_OWNER_REACHABLE,
 	API_OWNER_UNREACHABLE, /* not connected, but may still run */
-	API_OWNER_GONE	       /* has exited for good, with its records */
+	API_OWNER_GONE	       /* has exited; its job records are lost */
 };
 
 struct api_options {
@@ -70,7 +70,10 @@
 void api_close(struct api *api);
 bool api_is_closed(const struct api *api);
 
-/* Returns NULL if fn ran already; else api_cancel() is valid until it runs. */
+/*
+ * Returns NULL if fn ran already; otherwise a call that may be passed to
+ * api_cancel() until fn runs.
+ */
 struct api_call *api_handle(struct api *api, const struct api_request *request,
     api_answer_fn fn, void *ctx);
 /* Returns true if no job with this id can have started at any entry. */
--- a/src/request/callers.c
+++ b/src/request/callers.c
@@ -67,7 +67,7 @@
 
 	if (http->in_progress > http->opts.max_requests)
 		refuse_body(msg, req, REF_OVERLOADED);
-	/* libsoup treats a truncated chunked body as complete. */
+	/* Chunked bodies: libsoup treats a truncated one as complete. */
 	else if (soup_message_headers_get_list(headers, "Transfer-Encoding") !=
 		 NULL)
 		refuse_body(msg, req, REF_LENGTH_REQUIRED);
@@ -109,7 +109,10 @@
 	http->in_progress++;
 	*http->in_progress_gauge = http->in_progress;
 	(*http->requests)++;
-	/* libsoup may free a message with its connection without "finished". */
+	/*
+	 * The request is freed with the message, since libsoup may not emit
+	 * "finished" when the connection closes.
+	 */
 	g_object_set_data_full(
 	    G_OBJECT(msg), REQUEST_DATA_KEY, req, request_free);
 	g_signal_connect(msg, "finished", G_CALLBACK(on_message_finished), req);
--- a/src/request/callers.h
+++ b/src/request/callers.h
@@ -24,7 +24,7 @@
 	struct trc_ring *traces;
 	uint64_t max_body_bytes;
 	uint32_t max_requests; /* in progress */
-	/* Time limit for one request; 0: HL_RECEIVE_TIMEOUT_MS. */
+	/* Time for a request to arrive; 0: HL_RECEIVE_TIMEOUT_MS. */
 	int64_t receive_ms;
 	bool (*is_ready)(void *ctx);
 	void *ctx;
--- a/src/request/ident.c
+++ b/src/request/ident.c
@@ -105,7 +105,7 @@
 
 	*value = 0;
 	for (i = 0; i < digits; i++) {
-		/* Only lower case, so that an id has one key in the table. */
+		/* Lower case only: the job table compares ids as text. */
 		if (!g_ascii_isdigit(text[i]) &&
 		    !(text[i] >= 'a' && text[i] <= 'f'))
 			return false;
--- a/src/request/operators.h
+++ b/src/request/operators.h
@@ -30,7 +30,7 @@
 
 /* Returns NULL and sets *st on error.  Each callback may be NULL. */
 struct ops *ops_new(const struct ops_options *opts, struct status *st);
-/* Requests in progress get no answer, but their changes are completed. */
+/* Requests in progress get no answer, but their changes go on. */
 void ops_free(struct ops *ops);
 uint16_t ops_port(const struct ops *ops);
 
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -18,7 +18,8 @@
 struct out_options {
 	uint32_t max_records; /* accepted and not acknowledged, per entry */
 	uint64_t max_bytes;   /* unacknowledged results, per entry */
-	uint32_t max_entries; /* above it, disconnected ones are dropped */
+	/* Above it, the records of the longest disconnected are dropped. */
+	uint32_t max_entries;
 };
 
 enum out_verdict {
--- a/src/request/refusal.c
+++ b/src/request/refusal.c
@@ -7,8 +7,9 @@
 #define RAN_UNKNOWN "unknown"
 
 /*
- * "unknown" marks refusals after which an earlier submission of the same id
- * may have run; the others are decided before any task is queued.
+ * "unknown" marks errors that leave open if the job ran: an earlier submission
+ * of the id may have, or this request at the entry that it was forwarded to.
+ * The other refusals are decided before any task is queued.
  */
 static const struct {
 	uint32_t http_status;
--- a/tests/test_callers.c
+++ b/tests/test_callers.c
@@ -196,7 +196,7 @@
 
 static int64_t receive_ms; /* 0: the default */
 
-/* max_requests 0: a limit that no test reaches. */
+/* max_requests 0 stands for 100, which no test reaches. */
 static void
 setup(uint32_t max_requests)
 {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,8 +1,8 @@
 /*
  * Runs the platform's programs as real processes: two entries, three agents
- * with workers, a store.  Each row injects a fault while jobs run; callers
- * resubmit jobs as the platform's do.  No worker may be given more than its
- * capacity, no task may run twice at once, and every job must complete.
+ * with workers, a store.  Each row injects a fault while jobs run; jobs are
+ * resubmitted as by the platform's callers.  No worker may be given more than
+ * its capacity, no task may run twice at once, and every job must complete.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -89,7 +89,7 @@
 }
 
 static void
-late_orders(struct dpl *dpl)
+late_commands(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	hn_sleep(2000);
@@ -197,7 +197,7 @@
 }
 
 static void
-late_orders_and_entry_paused(struct dpl *dpl)
+late_commands_and_entry_paused(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	entry_paused(dpl);
@@ -205,7 +205,7 @@
 }
 
 static void
-late_orders_and_agent_killed(struct dpl *dpl)
+late_commands_and_agent_killed(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	agent_killed(dpl);
@@ -218,7 +218,7 @@
 	void (*fault)(struct dpl *dpl);
 } rows[] = {
     {"no fault", no_fault},
-    {"orders carried out late", late_orders},
+    {"worker commands executed late", late_commands},
     {"worker fails every task", failing_worker},
     {"worker stalled", stalled_worker},
     {"worker crashed", crashed_worker},
@@ -232,8 +232,8 @@
     {"agent terminated", agent_terminated},
     {"store down", store_down},
     {"all killed", all_killed},
-    {"orders late, entry paused", late_orders_and_entry_paused},
-    {"orders late, agent killed", late_orders_and_agent_killed},
+    {"late worker commands, entry paused", late_commands_and_entry_paused},
+    {"late worker commands, agent killed", late_commands_and_agent_killed},
 };
 
 START_TEST(fault_while_jobs_run)
@@ -360,7 +360,7 @@
  * A restarted agent that only waited for the worker's next heartbeat would
  * leave the worker idle; it must contact the worker named by its store key.
  */
-START_TEST(worker_recalled)
+START_TEST(restarted_agent_finds_worker)
 {
 	struct dpl dpl;
 	int i;
@@ -423,7 +423,7 @@
 {
 	const TTest *const tests[] = {no_start_in_evacuated_domain,
 	    idle_sessions_last, queue_replaced, shutdown_answers_all,
-	    worker_recalled, invalid_jobs_refused};
+	    restarted_agent_finds_worker, invalid_jobs_refused};
 	int red = run_table("platform", fault_while_jobs_run,
 	    sizeof(rows) / sizeof(rows[0]), 2 * HN_LIMIT_MS / 1000.0 + 30);
 
