--- a/src/request/eject.h
+++ b/src/request/eject.h
@@ -15,8 +15,8 @@
 void ej_free(struct eject *eject);
 
 /*
- * At most a third of the workers of a service is ejected at once.  service is
- * copied.
+ * At most a third of the workers of a service is ejected at once, and none when
+ * there are fewer than 3.  service is copied.
  */
 void ej_add(struct eject *eject, uint32_t id, const char *service);
 void ej_remove(struct eject *eject, uint32_t id);
--- a/src/request/estimate.c
+++ b/src/request/estimate.c
@@ -50,6 +50,7 @@
 	       (n + SPEED_PRIOR_SAMPLES);
 }
 
+/* deviation: log run time minus its expected value without declared_ms. */
 static void
 measure_declared(
     struct est_service *service, double log_declared, double deviation)
--- a/src/request/estimate.h
+++ b/src/request/estimate.h
@@ -26,7 +26,7 @@
 /* Records a measured run time; declared_ms 0: not declared. */
 void est_measure(struct est_service *service, struct est_worker *worker,
     int64_t run_us, int64_t declared_ms);
-/* Whether a run time is below the worker's mean. */
+/* Whether a run time is below the worker's mean; true before any sample. */
 bool est_is_below_mean(const struct est_worker *worker, int64_t run_us);
 /* Expected run time on a worker, or on an average one when worker is NULL. */
 double est_run_us(const struct est_service *service,
--- a/src/request/health.h
+++ b/src/request/health.h
@@ -12,15 +12,18 @@
  * recovered.  Plain data, zero-initialised.
  */
 struct hlt {
-	uint32_t n_failed_jobs; /* jobs that failed in a row */
-	double failure_rate;	/* weighted towards recent outcomes */
-	int64_t failure_rate_ms;
+	uint32_t n_failed_jobs;	 /* jobs that failed in a row */
+	double failure_rate;	 /* weighted towards recent outcomes */
+	int64_t failure_rate_ms; /* time of its last update */
 	int64_t backoff_ms;
 	int64_t paused_until_ms;
 };
 
 void hlt_record_success(struct hlt *health, int64_t now_ms);
-/* Called once for each job whose tasks the worker fails. */
+/*
+ * The caller counts several failed tasks of one job once, except while the
+ * worker is ejected.
+ */
 void hlt_record_failure(struct hlt *health, int64_t now_ms);
 /* A refused start pauses the worker briefly and does not count as a failure. */
 void hlt_record_refusal(struct hlt *health, int64_t now_ms);
--- a/src/request/job.h
+++ b/src/request/job.h
@@ -173,8 +173,9 @@
 /* Records that a caller gets the answer. */
 void job_set_delivered(struct job *job);
 /*
- * Calls fn once, when the job is finished.  Returns 0, and never calls fn, when
- * the job is already finished or has too many waiters.
+ * Calls fn once, when the job is finished; returns a number for job_unwait().
+ * Returns 0, and never calls fn, when the job is already finished or has too
+ * many waiters.
  */
 uint64_t job_wait(struct job *job, job_done_fn fn, void *ctx);
 void job_unwait(struct job *job, uint64_t waiter);
--- a/src/request/job_table.c
+++ b/src/request/job_table.c
@@ -59,7 +59,10 @@
 	return table->bytes;
 }
 
-/* Removes the record; an id that it has counts as expired from now on. */
+/*
+ * Removes the record.  From now on its submission id, if any, and all lower ids
+ * that have no record count as expired.
+ */
 static void
 drop_record(struct job_table *table, struct job *job)
 {
--- a/src/request/jobform.c
+++ b/src/request/jobform.c
@@ -19,14 +19,14 @@
 		st_set(why, ST_INVALID, "the body is empty or too long");
 		return REF_BAD_REQUEST;
 	}
-	tok = json_tokener_new_ex(JF_MAX_DEPTH);
+	tok = json_tokener_new_ex(JF_MAX_JSON_DEPTH);
 	json_tokener_set_flags(
 	    tok, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
 	*root = json_tokener_parse_ex(tok, body, (int)len);
 	error = json_tokener_get_error(tok);
 	/*
-	 * Bytes after the value are an error.  A bare number is incomplete for
-	 * the parser until more input follows.
+	 * Bytes after the value are an error.  So is a body that is only a
+	 * number, since the parser waits for further digits.
 	 */
 	if (error == json_tokener_success &&
 	    json_tokener_get_parse_end(tok) != len)
--- a/src/request/jobform.h
+++ b/src/request/jobform.h
@@ -20,7 +20,7 @@
 	uint64_t max_memory_mb;
 };
 
-#define JF_MAX_DEPTH	       32
+#define JF_MAX_JSON_DEPTH      32
 #define JF_DEFAULT_DEADLINE_MS 60000
 #define JF_MAX_DEADLINE_MS     3600000
 #define JF_MAX_IDS	       1000
--- a/src/request/jobtask.h
+++ b/src/request/jobtask.h
@@ -36,7 +36,7 @@
 	struct wks_worker *failed_on[JT_MAX_FAILED_ON];
 	int64_t sent_ms;
 	int64_t resolved_ms;  /* when an unresolved run has certainly ended */
-	int64_t projected_ms; /* run time projected when it was stopped */
+	int64_t projected_ms; /* longest projection of a stalled run; 0: none */
 };
 
 struct jt_step {
--- a/src/request/ledger.c
+++ b/src/request/ledger.c
@@ -31,7 +31,7 @@
 	QUEUED,
 	STARTING,
 	RUNNING,
-	STOPPING, /* a stop was sent; also if the start got no answer */
+	STOPPING, /* a stop was sent for a running or an unanswered start */
 };
 
 struct run {
@@ -470,7 +470,10 @@
 	    (int64_t)((double)run->expected_ms * STALL_EXPECTED_SHARE));
 }
 
-/* Projects the run time from the progress since the first report. */
+/*
+ * Projects the run time from the progress since the first report, and compares
+ * it with the expected one.
+ */
 static bool
 is_too_slow(struct run *run, int64_t percent, int64_t clock_ms)
 {
--- a/src/request/ledger.h
+++ b/src/request/ledger.h
@@ -11,8 +11,9 @@
 /*
  * An agent's record of its worker's runs, which are starting, running or being
  * stopped, and the queue of starts that wait for free capacity.  A start whose
- * outcome is unknown keeps its capacity until the worker has refused it for
- * good or has reported its end.  Holds no sockets and reads no clock.
+ * outcome is unknown keeps its capacity until the worker has reported its end,
+ * or has confirmed its stop and no longer reports it as running.  Holds no
+ * sockets and reads no clock.
  */
 struct led;
 
--- a/src/request/place.c
+++ b/src/request/place.c
@@ -32,7 +32,7 @@
 	uint32_t cores;
 	uint64_t memory_mb;
 	uint32_t reported; /* busy and queued in the last report */
-	uint32_t unseen;   /* own dispatches that it does not include */
+	uint32_t unseen;   /* own dispatches that the report leaves out */
 	uint32_t own;	   /* own dispatches that have not finished */
 	uint32_t reserved; /* slots reserved by waiting tasks of a pass */
 	int64_t report_ms;
@@ -463,7 +463,8 @@
 	if (service == NULL)
 		return PLACE_NONE;
 	/*
-	 * Outside a pass the caller stops at the first task without a worker.
+	 * Outside a pass the caller stops at the first task that is not placed,
+	 * so a task that waits for a faster worker would block the others.
 	 */
 	if (place->policy == PLACE_EARLIEST_FINISH && place->in_pass)
 		return earliest_finish(place, service, task);
@@ -605,7 +606,7 @@
 	return slots;
 }
 
-/* Whether the service has a worker that may get work. */
+/* Whether the service has a usable worker that is not draining. */
 bool
 place_has_live_worker(const struct place *place, const char *service_name)
 {
--- a/src/request/place.h
+++ b/src/request/place.h
@@ -19,8 +19,8 @@
 	PLACE_TWO_CHOICES,
 	PLACE_LEAST_WAIT,
 	/*
-	 * A task may wait for a faster worker; same as least wait outside a
-	 * pass.
+	 * In a pass (see place_begin_pass()) a task may wait for a faster
+	 * worker; outside a pass this is the same as PLACE_LEAST_WAIT.
 	 */
 	PLACE_EARLIEST_FINISH
 };
@@ -28,7 +28,7 @@
 struct place_options {
 	enum place_policy policy;
 	const char *failure_domain; /* of the entry; copied */
-	uint32_t ahead;		    /* tasks sent beyond a worker's slots */
+	uint32_t ahead; /* limit of tasks sent to a worker beyond its slots */
 	uint32_t seed;
 	bool prefer_local;
 };
@@ -68,7 +68,7 @@
 /* outstanding: dispatches of this entry that the load does not include. */
 void place_report(struct place *place, uint32_t id,
     const struct place_load *load, uint32_t outstanding, int64_t now_ms);
-/* An unusable worker (out, stale, disconnected) gets no tasks. */
+/* An unusable worker gets no tasks; pool.h says which ones are usable. */
 void place_set_usable(struct place *place, uint32_t id, bool usable);
 
 /*
@@ -91,7 +91,7 @@
 /* Returns PLACE_NONE when no worker can take the task now. */
 uint32_t place_choose(
     struct place *place, const struct place_task *task, int64_t now_ms);
-/* Whether the task fits any worker that may get work, busy or not. */
+/* Whether the task fits any usable worker that is not draining. */
 bool place_fits_live(const struct place *place, const struct place_task *task);
 /* Whether the task fits any known worker, usable or not. */
 bool place_can_ever_run(
--- a/src/request/pool.c
+++ b/src/request/pool.c
@@ -163,13 +163,13 @@
 
 void
 pool_set_load(struct pool *pool, void *agent, const struct place_load *load,
-    uint32_t unseen, int64_t now_ms)
+    uint32_t outstanding, int64_t now_ms)
 {
 	struct member *m = g_hash_table_lookup(pool->agents, agent);
 
 	if (m != NULL)
 		place_report(
-		    pool->opts.place, m->place_id, load, unseen, now_ms);
+		    pool->opts.place, m->place_id, load, outstanding, now_ms);
 }
 
 void *
@@ -186,7 +186,8 @@
 		return NULL;
 	place_dispatched(pool->opts.place, *place_id, task, now_ms);
 	ej_record_start(pool->opts.eject, *place_id, now_ms);
-	update_usable(pool, m, now_ms); /* an ejected agent gets one probe */
+	/* After its probe an ejected agent gets nothing until the outcome. */
+	update_usable(pool, m, now_ms);
 	return m->agent;
 }
 
--- a/src/request/pool.h
+++ b/src/request/pool.h
@@ -34,17 +34,19 @@
     const struct place_worker *worker, int64_t now_ms);
 void pool_set_disconnected(struct pool *pool, void *agent);
 void pool_remove(struct pool *pool, void *agent);
+/* outstanding: dispatches to the agent that the load does not include. */
 void pool_set_load(struct pool *pool, void *agent,
-    const struct place_load *load, uint32_t unseen, int64_t now_ms);
+    const struct place_load *load, uint32_t outstanding, int64_t now_ms);
 /*
- * Updates which agents are usable: applies out marks and lets agents back whose
- * pause or ejection has ended.
+ * Updates which agents are usable: excludes those that the configuration marks
+ * out and readmits those whose pause or ejection has ended.
  */
 void pool_refresh(struct pool *pool, int64_t now_ms);
 
 /*
- * Chooses an agent by the placement policy and counts the task there; NULL when
- * none can take it now.  place_id goes with the agent into the calls below.
+ * Chooses an agent by the placement policy and records the dispatch; NULL when
+ * none can take the task now.  Sets place_id, which the caller passes with the
+ * agent to the functions below.
  */
 void *pool_choose(struct pool *pool, const struct place_task *task,
     uint32_t *place_id, int64_t now_ms);
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -2,7 +2,7 @@
 
 #include "request/retry.h"
 
-#define UNITS_PER_RETRY 100 /* a request adds "percent" of them */
+#define UNITS_PER_RETRY 100 /* each request adds opts.percent units */
 
 struct retry {
 	struct rty_options opts;
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -13,9 +13,9 @@
 struct retry;
 
 struct rty_options {
-	uint32_t percent; /* of requests that may be retried */
-	uint32_t burst;	  /* limit of retries saved up */
-	uint32_t max_attempts;
+	uint32_t percent;      /* of requests that may be retried */
+	uint32_t burst;	       /* limit of retries saved up */
+	uint32_t max_attempts; /* limits retries after an unknown outcome */
 };
 
 enum rty_outcome { RTY_NOT_STARTED, RTY_UNKNOWN };
--- a/src/request/runqueue.c
+++ b/src/request/runqueue.c
@@ -60,8 +60,8 @@
 	if (reason != WIRE_REASON_NONE)
 		return reason;
 	/*
-	 * All tasks of a batch are queued before any is started, so the free
-	 * slots count towards the limit.
+	 * All tasks of a batch are queued before any is started, so the limit
+	 * is raised by the number of free slots.
 	 */
 	if (in_use < cond->slots)
 		limit += cond->slots - in_use;
--- a/src/request/runqueue.h
+++ b/src/request/runqueue.h
@@ -24,7 +24,7 @@
 /* Conditions of a start at the moment of the check. */
 struct rq_conditions {
 	bool fresh;	     /* configuration confirmed recently enough */
-	bool out;	     /* failure domain, worker or service is out */
+	bool out;	     /* domain, worker or service is marked out */
 	bool draining;	     /* agent or endpoint is draining */
 	const char *service; /* NULL: no endpoint is announced */
 	uint32_t slots;
--- a/src/request/sched.c
+++ b/src/request/sched.c
@@ -26,6 +26,7 @@
  * no use to its caller.
  */
 #define MAX_USEFUL_OBJECTIVES 3
+
 struct sch {
 	struct sch_options opts;
 	struct wks *workers;
@@ -35,7 +36,7 @@
 	GHashTable *queue_speeds; /* queue name to struct spd_queue */
 	GTree *jobs_by_priority;  /* priority to GQueue of struct jt_job */
 	uint64_t next_seq;
-	int64_t first_ms; /* first time seen, as that of the process start */
+	int64_t first_ms; /* of the first call; taken as the process start */
 	bool waiting;	  /* a task may be ready to be sent */
 };
 
@@ -358,7 +359,8 @@
 		return;
 	}
 	/*
-	 * A worker whose link takes no start is skipped until its next report.
+	 * A worker to which a start can't be sent is skipped until its next
+	 * report.
 	 */
 	while ((w = choose(pass->sch, task, pass->now_ms)) != NULL &&
 	       !send(pass->sch, task, w, pass->now_ms))
@@ -380,8 +382,8 @@
 }
 
 /*
- * Whether the job goes before those that have missed their objective: it has
- * begun, or can still be in time.
+ * Whether the job is placed before late ones: a task of it was already sent, or
+ * it can still meet its objective.
  */
 static bool
 is_preferred(const struct jt_job *job, int64_t now_ms)
@@ -390,7 +392,7 @@
 }
 
 static void
-place_jobs(struct pass *pass, const GQueue *list, bool first)
+place_jobs(struct pass *pass, const GQueue *list, bool preferred)
 {
 	GList *l;
 
@@ -398,7 +400,7 @@
 	     l = l->next) {
 		struct jt_job *job = l->data;
 
-		if (is_preferred(job, pass->now_ms) == first)
+		if (is_preferred(job, pass->now_ms) == preferred)
 			place_job(pass, job);
 	}
 }
@@ -602,10 +604,10 @@
 	       wk_fits(&a->steps[0].size, &b->steps[0].size);
 }
 
-/* Times that jobs of a queue have waited for their first start. */
+/* How long jobs of a queue without any sent task have waited; 0: no job. */
 struct waits {
-	int64_t oldest_ms;
-	int64_t in_time_ms; /* of the oldest that can still be in time */
+	int64_t oldest_ms;  /* the oldest job */
+	int64_t in_time_ms; /* the oldest that can still meet its objective */
 };
 
 /*
@@ -637,9 +639,9 @@
 }
 
 /*
- * Whether a new job would be answered too late to be of use, judged by the
- * oldest waiting job.  It is still accepted while the oldest job that can meet
- * its objective has used at most half of its time to start.
+ * Whether a new job would be answered too late to be of use if it waits as long
+ * as the oldest one.  It is still accepted if the oldest job that can meet its
+ * objective has waited at most half the time in which the new one must start.
  */
 static bool
 is_too_late(const struct waits *waits, const struct limits *limits)
--- a/src/request/sched.h
+++ b/src/request/sched.h
@@ -69,8 +69,9 @@
 };
 
 struct sch_options {
-	double cross_rack_factor;    /* on run times outside a preferred rack */
-	int64_t lost_run_timeout_ms; /* in which a lost agent ends its runs */
+	double cross_rack_factor; /* on run times outside a preferred rack */
+	/* Time in which an agent that lost its connection ends its runs. */
+	int64_t lost_run_timeout_ms;
 	uint32_t max_jobs;
 	/* Returns false when nothing was sent. */
 	bool (*start)(void *link, const struct sch_start *start, void *ctx);
@@ -144,7 +145,7 @@
 void sch_abort_all(struct sch *sch, const char *reason);
 
 uint32_t sch_n_jobs(const struct sch *sch);
-/* Number of jobs of a queue of which no task was sent. */
+/* Number of a queue's jobs without any sent task. */
 uint32_t sch_n_unsent_jobs(const struct sch *sch, const char *queue);
 
 #endif
--- a/src/request/speed.c
+++ b/src/request/speed.c
@@ -26,7 +26,7 @@
 
 /*
  * Mean of the worker's own slowness and that of its kind, weighted by the
- * number of its samples.
+ * number of its samples.  A worker without samples is as slow as its kind.
  */
 static double
 log_slowness(const struct spd_worker *worker, const struct spd_worker *kind)
--- a/src/request/speed.h
+++ b/src/request/speed.h
@@ -18,7 +18,7 @@
 	struct spd_mean log_ratio;
 };
 
-/* Of a worker, or of all workers of one kind, that is, with one first label. */
+/* Of a worker, or of a kind: all workers that have the same first label. */
 struct spd_worker {
 	struct spd_mean log_slowness;
 };
--- a/src/request/workerset.c
+++ b/src/request/workerset.c
@@ -104,8 +104,8 @@
 }
 
 /*
- * The reported room may not include the latest starts.  Starts beyond it are
- * queued at the worker for a short time.
+ * The reported room may not yet reflect the latest starts, so that too many
+ * starts are sent.  Those are queued at the worker for a short time.
  */
 void
 wks_set_room(struct wks_worker *w, const struct wk_size *room, bool accepting,
--- a/src/request/workerset.h
+++ b/src/request/workerset.h
@@ -37,15 +37,13 @@
 	char **labels;
 	uint64_t incarnation;
 	struct wk_size capacity;
-	struct wk_size
-	    room; /* free capacity reported, less that of later starts */
+	struct wk_size room; /* reported, less starts sent since */
 	bool described;
-	bool accepting;
+	bool accepting; /* takes starts, as last reported */
 	bool draining;
 	bool local;
-	bool unflushed;
-	int64_t
-	    last_usable_ms; /* when it was last able to take tasks, 0: never */
+	bool unflushed;		/* starts were sent since the last flush */
+	int64_t last_usable_ms; /* last report of taking starts, 0: never */
 	struct spd_worker speed;
 	struct spd_worker *kind;
 	uint32_t open; /* tasks sent that have no outcome */
--- a/tests/test_runqueue.c
+++ b/tests/test_runqueue.c
@@ -132,5 +132,5 @@
 		ck_abort_msg("unknown command %s", words[0]);
 }
 
-/* Guards against starting a task that must not run or not returning it. */
+/* Guards against starting a task that must not run, or keeping it queued. */
 REPLAY_MAIN("runqueue", 0, start, end, step)
--- a/tests/test_sched.c
+++ b/tests/test_sched.c
@@ -6,7 +6,7 @@
 #include "runner.h"
 
 #define LOST_RUN_TIMEOUT_MS 1300
-/* Cases begin when the process has run for long; "at" counts from then. */
+/* Cases start after STARTUP_GRACE_MS; "at" counts from their start. */
 #define CASE_START_MS 100000
 
 struct link {
