--- a/src/connection/agentlink.c
+++ b/src/connection/agentlink.c
@@ -21,7 +21,7 @@
 };
 
 struct open_start {
-	int64_t result_due_ms; /* the agent resends it by then; 0: no limit */
+	int64_t result_due_ms; /* then UNKNOWN; 0: no limit */
 	bool withdrawn;
 };
 
@@ -298,7 +298,10 @@
 	 * discards acknowledged ones and could not send a missing one again.
 	 */
 	if (!al->acked_result_known && args.first_result > 0) {
-		/* No start is open whose result has a lower number. */
+		/*
+		 * The agent may have sent lower numbers before it was removed
+		 * from the set; no start is open for them.
+		 */
 		al->acked_result = args.first_result - 1;
 		al->acked_result_known = true;
 	}
@@ -366,7 +369,7 @@
 		start->result_due_ms =
 		    clk_now_ms() + al->set->opts.outcome_timeout_ms;
 	else if (state == WIRE_STATE_QUEUED && start->withdrawn)
-		al_withdraw(al, &seq, 1); /* the first message may be lost */
+		al_withdraw(al, &seq, 1); /* the earlier WITHDRAW may be lost */
 }
 
 static void
@@ -465,7 +468,10 @@
 	if (args->worker[0] == '\0' || args->failure_domain[0] == '\0' ||
 	    args->incarnation == 0)
 		return "worker, failure domain or incarnation is missing";
-	/* A known agent may return: it has the results of its open starts. */
+	/*
+	 * The limit does not apply to a known agent, since it may have results
+	 * of its open starts.
+	 */
 	if (g_hash_table_size(set->agents) >= set->opts.max_agents &&
 	    find_agent(set, args) == NULL)
 		return "too many agents";
--- a/src/connection/agentlink.h
+++ b/src/connection/agentlink.h
@@ -25,19 +25,20 @@
 	const struct fresh *fresh;
 	struct ctr_registry *counters;
 	uint32_t max_agents;
-	int64_t silence_ms; /* timeout of a QUERY */
+	int64_t silence_ms; /* the connection closes if a QUERY takes longer */
 	/*
-	 * After this time without a connection, or without a result that the
-	 * agent said it would send, open starts get the outcome UNKNOWN.
+	 * Open starts get the outcome UNKNOWN when the agent has no connection
+	 * for this long, or when the result of a start that it reported as
+	 * DONE in reply to a QUERY does not arrive within this time.
 	 */
 	int64_t outcome_timeout_ms;
 	int64_t remove_after_ms; /* an agent without a connection is removed */
 	uint64_t (*next_seq)(void *ctx);
 	/* The list of entries, with a digest of it. */
 	const wire_member *(*members)(size_t *n, uint64_t *digest, void *ctx);
-	/* The agent has an endpoint; also runs at every heartbeat. */
+	/* Runs at HELLO and each heartbeat if the agent has an endpoint. */
 	void (*up)(struct al *al, const struct place_worker *worker, void *ctx);
-	/* The agent has no endpoint or no connection. */
+	/* Runs at HELLO and each heartbeat if it has none, and at a close. */
 	void (*down)(struct al *al, void *ctx);
 	/* The agent is removed; al is freed after this. */
 	void (*gone)(struct al *al, void *ctx);
--- a/src/connection/announce.c
+++ b/src/connection/announce.c
@@ -10,8 +10,9 @@
 #define SLOTS_MAX      65536
 #define BODY_MAX_BYTES 65536
 /*
- * An announcement may count calls of this agent that have ended since.  Those
- * that ended this recently are not counted as requests of others.
+ * slots_in_use of an announcement may include calls whose end this agent has
+ * seen already.  Calls that ended within this time are subtracted, so that they
+ * are not taken for requests of others.
  */
 #define RECENT_END_MS	200
 #define RECENT_ENDS_MAX 256
@@ -140,7 +141,7 @@
 }
 
 static uint32_t
-foreign_slots(
+slots_used_by_others(
     const struct ann *ann, uint32_t in_use, uint32_t running, int64_t now_ms)
 {
 	uint32_t own = running, i;
@@ -168,7 +169,7 @@
 	s->cores = json_object_get_int64(values[F_CORES]);
 	s->memory_mb = json_object_get_int64(values[F_MEMORY]);
 	s->draining = json_object_get_boolean(values[F_DRAINING]);
-	s->slots_in_use = foreign_slots(ann, in_use, running, now_ms);
+	s->slots_in_use = slots_used_by_others(ann, in_use, running, now_ms);
 	ann->expires_ms = now_ms + json_object_get_int64(values[F_TTL]);
 }
 
--- a/src/connection/endpoint.c
+++ b/src/connection/endpoint.c
@@ -285,7 +285,10 @@
 	else
 		g_byte_array_append(call->body, (const guint8 *)data, len);
 	call->too_large = call->body->len > call->ep->opts.max_answer_bytes;
-	/* Reading on to the end would take another main loop iteration. */
+	/*
+	 * Ends the call when Content-Length bytes were read, as waiting for the
+	 * end of input would take another main loop iteration.
+	 */
 	if (!call->chunked && is_complete(call))
 		verdict = CHK_END;
 	if (call->too_large || verdict != CHK_MORE)
@@ -336,7 +339,7 @@
 			    soup_message_get_response_headers(call->msg)) ==
 			SOUP_ENCODING_CHUNKED;
 	if (call->chunked) {
-		/* The stream below that of the message and the decoder. */
+		/* Two streams wrap the raw one; the inner one decodes. */
 		call->raw = base_stream(base_stream(call->stream));
 		if (call->raw == NULL) {
 			finish(call, false);
--- a/src/connection/endpoint.h
+++ b/src/connection/endpoint.h
@@ -39,7 +39,7 @@
 void ep_free(struct ep *ep);
 void ep_call(struct ep *ep, const struct ep_request *request, ep_done_fn done,
     void *ctx);
-/* Whether this is an "http://host:port" URL without any other part. */
+/* Whether address is an "http://host:port" URL without any other part. */
 bool ep_address_is_valid(const char *address);
 
 #endif
--- a/src/connection/entrylink.c
+++ b/src/connection/entrylink.c
@@ -433,7 +433,7 @@
 	socket = g_socket_client_connect_finish(
 	    G_SOCKET_CLIENT(source), res, &error);
 	if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CANCELLED)) {
-		g_error_free(error); /* the link may be gone */
+		g_error_free(error); /* el may have been freed */
 		return;
 	}
 	g_clear_object(&el->dialing);
@@ -452,7 +452,7 @@
 	    .on_closed = on_closed,
 	    .ctx = el,
 	};
-	/* The timeout inherited from the client applies to connecting only. */
+	/* Resets the timeout for connecting, inherited from the client. */
 	g_socket_set_timeout(g_socket_connection_get_socket(socket), 0);
 	el->conn = rpc_new(&opts);
 	g_object_unref(socket);
--- a/src/connection/entryset.h
+++ b/src/connection/entryset.h
@@ -9,8 +9,8 @@
 /*
  * The connections of an agent to entries.  Selects at most max_links entries by
  * rendezvous hashing, those of the agent's failure domain first, from the lists
- * that the entries send.  Seed addresses are dialled too while no entry is
- * connected or none has sent a list.
+ * that the entries send.  Seed addresses are dialled too while no connected
+ * entry has sent a list.
  */
 struct es;
 
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -21,8 +21,8 @@
 #define POLL_RETRY_MS 50
 /*
  * The worker is not ready, and gets no starts, when its last report is older
- * than MAX_ANSWER_AGE_MS (which includes the wait of a poll), or when no call
- * was answered since one sent more than MAX_UNANSWERED_MS ago.
+ * than MAX_ANSWER_AGE_MS (which includes the wait of a poll), or when
+ * unanswered_since_ms is more than MAX_UNANSWERED_MS ago.
  */
 #define MAX_ANSWER_AGE_MS 700
 #define MAX_UNANSWERED_MS 250
@@ -37,7 +37,7 @@
 
 enum phase {
 	ABSENT,	  /* no heartbeat yet, or the worker was deregistered */
-	CLEARING, /* stops the runs of earlier agents or incarnations */
+	CLEARING, /* stops runs started earlier; no new starts yet */
 	READY,
 };
 
@@ -52,19 +52,23 @@
 	int64_t last_end; /* highest number of a reported end */
 	int64_t clock_ms; /* the worker's clock at clock_at_ms */
 	int64_t clock_at_ms;
-	int64_t sent_ms;	     /* of the poll in progress, 0: none */
-	int64_t answered_ms;	     /* last report of this incarnation */
-	int64_t deadline_ms;	     /* of the lease, on the worker's clock */
-	int64_t lease_ends_ms;	     /* upper bound, 0: no lease was given */
-	int64_t unanswered_since_ms; /* first unanswered call, 0: none */
-	/* Incremented per incarnation; answers of older ones are ignored. */
+	int64_t sent_ms;       /* of the poll in progress, 0: none */
+	int64_t answered_ms;   /* last report of this incarnation */
+	int64_t deadline_ms;   /* of the lease, on the worker's clock */
+	int64_t lease_ends_ms; /* upper bound, 0: no lease was given */
+	/*
+	 * When the first call without an answer was sent, plus its wait; 0:
+	 * none.  Any answer resets it.
+	 */
+	int64_t unanswered_since_ms;
+	/* Counts changes of the worker; answers to earlier calls are ignored. */
 	uint64_t generation;
 	int64_t short_poll_until_ms;
 	/* Reason for reporting runs as lost when clearing is done, or NULL. */
 	const char *lost_reason;
 	struct ans answers;
-	bool extra_in_progress; /* one of hold_request_report() */
-	bool extra_pending;	/* asked for meanwhile */
+	bool extra_in_progress; /* call of hold_request_report() */
+	bool extra_pending;	/* requested during that call */
 	guint poll_id;
 	bool was_ready;
 };
@@ -199,9 +203,10 @@
 }
 
 /*
- * Returns the lease deadline to send with a start.  An unanswered call may have
- * been executed, so if every start extended the lease of a worker that does not
- * answer, the upper bound of the lease would move on forever.
+ * Returns the lease deadline to send with a start.  While calls are unanswered,
+ * the lease is extended only when at most half of it is left: an unanswered
+ * call may have been executed, so if each start extended the lease, its upper
+ * bound would move on and the runs would not be reported as lost.
  */
 static int64_t
 start_deadline_ms(struct hold *hold)
@@ -236,7 +241,7 @@
 	(void)ctx;
 }
 
-/* Stops runs of an earlier agent process: their resource use is unknown. */
+/* Stops all runs left on the worker, since their resource use is unknown. */
 static void
 clear_runs(struct hold *hold, const struct wp_report *report)
 {
@@ -292,7 +297,7 @@
 	update_ready(hold);
 }
 
-/* Whether this is a report, and of the current incarnation. */
+/* Whether the answer is a report, and of the current incarnation. */
 static bool
 is_report_of(const struct hold *hold, const struct wp_report *report)
 {
@@ -312,7 +317,10 @@
 		hold->extra_in_progress = false;
 	else
 		hold->sent_ms = 0;
-	/* A poll returns early when a run ends: no sample of answer time. */
+	/*
+	 * An answered poll with a wait is not recorded: it may return before
+	 * the wait is over, and so does not show the worker's answer time.
+	 */
 	if (report->answer.verdict == WP_NO_ANSWER || call->wait_ms == 0)
 		record_answer(hold, report->answer.verdict,
 		    call->sent_ms + call->wait_ms);
--- a/src/connection/holder.h
+++ b/src/connection/holder.h
@@ -26,7 +26,7 @@
 	const struct wp *wp; /* borrowed */
 	int64_t lease_ms;    /* longest lease that the worker grants */
 	int64_t token; /* fencing token, above that of any earlier agent */
-	/* Whether polls should renew the lease: some run needs it. */
+	/* Whether a run needs the lease; polls renew it only then. */
 	bool (*lease_needed)(void *ctx);
 	/*
 	 * A report of the worker, for the request sent at sent_ms.  Reports may
@@ -34,7 +34,7 @@
 	 */
 	void (*report)(
 	    const struct wp_report *report, int64_t sent_ms, void *ctx);
-	/* No run started so far runs any more; their outcomes are unknown. */
+	/* None of the runs started so far is active; outcomes are unknown. */
 	void (*runs_lost)(const char *reason, void *ctx);
 	/* The worker, or the value of hold_is_ready(), has changed. */
 	void (*changed)(void *ctx);
@@ -60,7 +60,7 @@
 
 /*
  * Whether starts may be sent: the worker answers, and no run of an earlier
- * agent process is left on it.
+ * agent process, or reported as lost, is left on it.
  */
 bool hold_is_ready(const struct hold *hold);
 /* The worker's start time, which identifies its incarnation; 0: no worker. */
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -17,6 +17,7 @@
 	const char *listen;    /* "ip:port"; borrowed */
 	struct al_set *agents; /* borrowed */
 	struct pl_set *peers;  /* borrowed */
+	/* Timeout of connections without input, and of the first call. */
 	int64_t silence_ms;
 };
 
--- a/src/connection/peerlink.c
+++ b/src/connection/peerlink.c
@@ -141,7 +141,7 @@
 	    .entry = *opts->self,
 	};
 
-	/* The timeout inherited from the client applies to connecting only. */
+	/* Resets the timeout for connecting, inherited from the client. */
 	g_socket_set_timeout(g_socket_connection_get_socket(socket), 0);
 	peer->conn = rpc_new(&options);
 	if (!rpc_request(peer->conn, WIRE_PEER_HELLO,
--- a/src/connection/peerlink.h
+++ b/src/connection/peerlink.h
@@ -26,6 +26,7 @@
 	const char *cluster_key; /* borrowed, as are all pointers below */
 	const wire_member *self; /* this entry */
 	struct ctr_registry *counters;
+	/* Timeout of PEER_HELLO, PEER_STATUS and connections without input. */
 	int64_t silence_ms;
 	int64_t status_ms; /* interval of PEER_STATUS */
 	/*
--- a/src/connection/rpc.c
+++ b/src/connection/rpc.c
@@ -49,7 +49,7 @@
 	GHashTable *pending; /* xid -> struct pending */
 };
 
-/* Over all connections of the process, which has a single main loop. */
+/* Totals of all connections; not locked, as there is one main loop. */
 static struct {
 	int64_t bytes_in, bytes_out, records_in, records_out;
 } totals;
@@ -603,7 +603,7 @@
 	if (conn->open && conn->opts.silence_ms > 0 &&
 	    now_ms - conn->last_input_ms > conn->opts.silence_ms)
 		rpc_close(conn, ST_TIMEOUT, "no input from the peer");
-	/* Otherwise input that completes no call would keep it open. */
+	/* A peer could otherwise stay connected by input without any call. */
 	if (conn->open && conn->opts.first_call_timeout_ms > 0 &&
 	    now_ms - conn->opened_ms > conn->opts.first_call_timeout_ms)
 		rpc_close(conn, ST_TIMEOUT, "no call from the peer");
--- a/src/connection/run.x
+++ b/src/connection/run.x
@@ -32,7 +32,7 @@
 	run_size size;
 	uint32_t priority;	/* 0 first */
 	int64_t expected_ms;	/* run time on this worker */
-	int64_t start_within_ms;	/* not started later than this */
+	int64_t start_within_ms;	/* latest start, after receipt */
 };
 
 typedef string run_spec<RUN_SPEC_MAX>;
--- a/src/connection/wire.x
+++ b/src/connection/wire.x
@@ -125,7 +125,7 @@
 	WIRE_REASON_SEALED = 6,		/* see wire_query_args */
 	WIRE_REASON_QUEUE_FULL = 7,
 	WIRE_REASON_NO_ENDPOINT = 8,
-	WIRE_REASON_CONNECT = 9,	/* endpoint refused the connection */
+	WIRE_REASON_CONNECT = 9,	/* no connection to the endpoint */
 	WIRE_REASON_BROKEN = 10,	/* connection broke after sending */
 	WIRE_REASON_TOO_LARGE = 11	/* answer over the limit */
 };
@@ -190,7 +190,7 @@
 	uint64_t incarnation;
 	bool may_vote;		/* whether it counts as a voter */
 	int64_t store_age_ms;	/* since its last store read; -1: never */
-	wire_config config;	/* age by the store or by a quorum of peers */
+	wire_config config;	/* age since confirmed by store or quorum */
 };
 
 /* A caller's request about a job, forwarded to its owner. */
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -39,8 +39,9 @@
 struct wp_start {
 	const char *task;
 	const char *spec;
-	int64_t run;	     /* number, increases with every start */
-	int64_t deadline_ms; /* latest start and new lease, worker's clock */
+	int64_t run; /* number, increases with every start */
+	/* Worker's clock; latest time of the start, and new end of the lease. */
+	int64_t deadline_ms;
 };
 
 enum wp_end_kind {
@@ -57,7 +58,7 @@
 };
 
 struct wp_ended {
-	int64_t number; /* of the end, counted by the worker */
+	int64_t number; /* sequence number, assigned by the worker */
 	const char *task;
 	int64_t run;
 	enum wp_end_kind end_kind;
--- a/src/connection/worklink.c
+++ b/src/connection/worklink.c
@@ -141,7 +141,7 @@
 }
 
 static bool
-was_paused(const struct wlk *link)
+was_suspended(const struct wlk *link)
 {
 	return clk_now_ms() - link->heartbeat_sent_ms > MAX_HEARTBEAT_GAP_MS;
 }
@@ -151,7 +151,7 @@
 {
 	if (link->conn == NULL)
 		return;
-	if (was_paused(link))
+	if (was_suspended(link))
 		wlk_reconnect(link, "process was paused");
 	else if (clk_now_ms() - link->heartbeat_sent_ms >= HEARTBEAT_MS)
 		wlk_send_heartbeat(link);
@@ -317,7 +317,7 @@
 {
 	run_start copy = *start;
 
-	if (link->conn == NULL || was_paused(link) ||
+	if (link->conn == NULL || was_suspended(link) ||
 	    link->starts->len >= RUN_BATCH_MAX)
 		return false;
 	copy.task = g_strdup(start->task);
--- a/tests/test_endpoint.c
+++ b/tests/test_endpoint.c
@@ -8,9 +8,9 @@
 #include "process/clock.h"
 #include "runner.h"
 
-#define MAX_ANSWER 1000
-#define NS_PER_MS  1000000
-#define BODY	   "0123456789"
+#define MAX_BYTES 1000 /* of an answer */
+#define NS_PER_MS 1000000
+#define BODY	  "0123456789"
 #define WHOLE                                                                  \
 	"HTTP/1.1 200 OK\r\nX-Kept: yes\r\nContent-Length: 10\r\n\r\n" BODY
 #define CHUNKED                                                                \
@@ -150,7 +150,7 @@
 static struct ep *
 client(void)
 {
-	struct ep_options opts = {MAX_ANSWER};
+	struct ep_options opts = {MAX_BYTES};
 
 	return ep_new(&opts);
 }
@@ -274,9 +274,9 @@
     {"Nothing is written when the latest start time has passed",
 	{"", NULL, 5000, 0}, TEXT(WHOLE), WIRE_NOT_STARTED, WIRE_REASON_STALE,
 	1, 0, false, false},
-    {"An answer of the maximum size", {"", NULL, 5000, 5000}, SIZED(MAX_ANSWER),
+    {"An answer of the maximum size", {"", NULL, 5000, 5000}, SIZED(MAX_BYTES),
 	WIRE_DONE, WIRE_REASON_NONE, 1, 1, false, false},
-    {"An answer over the limit", {"", NULL, 5000, 5000}, SIZED(MAX_ANSWER + 1),
+    {"An answer over the limit", {"", NULL, 5000, 5000}, SIZED(MAX_BYTES + 1),
 	WIRE_UNKNOWN, WIRE_REASON_TOO_LARGE, 1, 1, false, false},
     {"A hanging endpoint occupies a slot only until the deadline",
 	{"", NULL, 200, 200}, TEXT(WHOLE), WIRE_UNKNOWN, WIRE_REASON_DEADLINE,
@@ -337,7 +337,7 @@
 }
 END_TEST
 
-/* libsoup must not follow these by itself, which sends a second request. */
+/* A redirect, 401 or 503 must not make libsoup send a second request. */
 START_TEST(redirect_and_login_are_answers)
 {
 	const char *const answers[] = {
@@ -407,7 +407,7 @@
 }
 END_TEST
 
-/* The endpoint needs these headers, and the path as the caller sent it. */
+/* The agent's own headers are sent, and the caller's path is unchanged. */
 START_TEST(request_headers)
 {
 	static const char *const fields[] = {"Connection: close",
--- a/tests/test_entrylink.c
+++ b/tests/test_entrylink.c
@@ -35,7 +35,7 @@
 	const char *document;
 	bool silent;	/* answers no call on open connections */
 	bool hold_acks; /* does not acknowledge results */
-	uint64_t highest;
+	uint64_t acked_result;
 	struct wire_result results[SEQ_MAX]; /* by seq; seq 0: none yet */
 	int copies[SEQ_MAX];
 	wire_state states[SEQ_MAX]; /* answer to the last QUERY, in order */
@@ -114,7 +114,7 @@
 	fake.load = args.load;
 	g_strlcpy(fake.service_name, args.service, sizeof(fake.service_name));
 	result.echo_ns = args.sent_ns;
-	result.acked_result = fake.hold_acks ? 0 : fake.highest;
+	result.acked_result = fake.hold_acks ? 0 : fake.acked_result;
 	fill_config(&result.config, args.config_version);
 	rpc_reply(
 	    conn, call->xid, (xdrproc_t)xdr_wire_heartbeat_result, &result);
@@ -130,8 +130,8 @@
 	ck_assert(xdr_wire_results_args(call->args, &args));
 	fake.messages++;
 	fake.load = args.load;
-	fake.highest =
-	    MAX(fake.highest, args.first_result + args.results.results_len - 1);
+	fake.acked_result = MAX(fake.acked_result,
+	    args.first_result + args.results.results_len - 1);
 	for (i = 0; i < args.results.results_len; i++) {
 		struct wire_result *r = &args.results.results_val[i];
 
@@ -200,7 +200,7 @@
 fake_become(uint64_t incarnation)
 {
 	fake.incarnation = incarnation;
-	fake.highest = 0;
+	fake.acked_result = 0;
 	rpc_close(fake.conn, ST_UNAVAILABLE, "restart");
 }
 
@@ -345,7 +345,7 @@
 }
 
 static int64_t
-counted(const char *path)
+endpoint_count(const char *path)
 {
 	const char *url =
 	    hn_str("http://127.0.0.1:%u/control/starts", system_.endpoint_port);
@@ -367,7 +367,7 @@
 		return fake.copies[atoi(name + strlen("copies"))];
 	if (g_str_has_prefix(name, "has"))
 		return has_result(strtoull(name + strlen("has"), NULL, 10));
-	return counted(name);
+	return endpoint_count(name);
 }
 
 static void *
@@ -385,7 +385,7 @@
 
 /* Commands that signal a process or wait for its exit. */
 static void
-process(const char *command, const char *name, GString *actual)
+process_command(const char *command, const char *name, GString *actual)
 {
 	struct hn_proc *proc =
 	    strcmp(name, "agent") == 0 ? system_.agent : system_.endpoint;
@@ -404,7 +404,7 @@
 
 /* Commands for the fake entry; returns false for any other command. */
 static bool
-behave(char **words, const char *arg)
+entry_command(char **words, const char *arg)
 {
 	if (strcmp(words[0], "silent") == 0)
 		fake.silent = true;
@@ -433,7 +433,7 @@
 	uint64_t n = strtoull(arg, NULL, 10);
 
 	(void)ctx;
-	if (behave(words, arg))
+	if (entry_command(words, arg))
 		return;
 	if (strcmp(words[0], "slots") == 0)
 		start_all((int)n);
@@ -469,7 +469,7 @@
 	else if (strcmp(words[0], "sleep") == 0)
 		hn_sleep((int64_t)n);
 	else
-		process(words[0], arg, actual);
+		process_command(words[0], arg, actual);
 }
 
 /* After an agent restart, slots used by its former process are not free. */
@@ -479,7 +479,7 @@
 
 	start_all(2);
 	send_start(fake.conn, 1, 1, 20000, "{\"run_ms\":3000}");
-	ck_assert(hn_wait_until(counted("total") == 1, HN_LIMIT_MS));
+	ck_assert(hn_wait_until(endpoint_count("total") == 1, HN_LIMIT_MS));
 	incarnation = fake.hello.incarnation;
 	hn_kill(system_.agent);
 	fake.service_name[0] = '\0';
@@ -495,7 +495,7 @@
 	ck_assert_int_eq(fake.results[3].outcome, WIRE_DONE);
 	ck_assert_int_eq(fake.results[3].reason, WIRE_REASON_NONE);
 	ck_assert_uint_eq(fake.load.received_seq, 3);
-	ck_assert_int_eq(counted("over_slots"), 0);
+	ck_assert_int_eq(endpoint_count("over_slots"), 0);
 	hn_finish();
 }
 END_TEST
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -6,11 +6,11 @@
 #include "harness.h"
 #include "runner.h"
 
-#define PROG  0x20005350
-#define PROC  7
-#define SEED  20260411
-#define MARK  4
-#define BYTES 64 /* maximum size of a call record with one argument */
+#define PROG	       0x20005350
+#define PROC	       7
+#define SEED	       20260411
+#define MARK_LEN       4
+#define CALL_MAX_BYTES 64 /* maximum size of a call record with one argument */
 
 /* One side of a connection, and the counts and values of its callbacks. */
 struct side {
@@ -136,7 +136,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(words); i++)
-		put_u32(out + MARK + 4 * i, words[i]);
+		put_u32(out + MARK_LEN + 4 * i, words[i]);
 	put_u32(out, 0x80000000U | sizeof(words));
 	return sizeof(words);
 }
@@ -161,16 +161,16 @@
 {
 	struct side side = {0};
 	GSocket *raw = open_raw(&side);
-	uint8_t rec[BYTES], marks[2][MARK];
+	uint8_t rec[CALL_MAX_BYTES], marks[2][MARK_LEN];
 	size_t len, at;
 	uint32_t n = 0;
 
 	len = call_record(rec, 1, 2, PROG, 1, 0, n);
-	for (at = 0; at <= len + MARK; at++) {
+	for (at = 0; at <= len + MARK_LEN; at++) {
 		call_record(rec, at, 2, PROG, 1, 0, ++n);
 		raw_send(raw, rec, at);
 		run_pending();
-		raw_send(raw, rec + at, len + MARK - at);
+		raw_send(raw, rec + at, len + MARK_LEN - at);
 		ck_assert(hn_wait_until(side.calls == (int)n, HN_LIMIT_MS));
 		ck_assert_uint_eq(side.arg, n);
 	}
@@ -178,18 +178,18 @@
 		call_record(rec, at, 2, PROG, 1, 0, ++n);
 		put_u32(marks[0], at);
 		put_u32(marks[1], 0x80000000U | (len - at));
-		raw_send(raw, marks[0], MARK);
-		raw_send(raw, rec + MARK, at);
-		raw_send(raw, marks[1], MARK);
-		raw_send(raw, rec + MARK + at, len - at);
+		raw_send(raw, marks[0], MARK_LEN);
+		raw_send(raw, rec + MARK_LEN, at);
+		raw_send(raw, marks[1], MARK_LEN);
+		raw_send(raw, rec + MARK_LEN + at, len - at);
 		ck_assert(hn_wait_until(side.calls == (int)n, HN_LIMIT_MS));
 		ck_assert_uint_eq(side.arg, n);
 	}
 	call_record(rec, 1, 2, PROG, 1, 0, ++n);
 	for (at = 0; at < len; at++) {
 		put_u32(marks[0], (at == len - 1 ? 0x80000000U : 0) | 1);
-		raw_send(raw, marks[0], MARK);
-		raw_send(raw, rec + MARK + at, 1);
+		raw_send(raw, marks[0], MARK_LEN);
+		raw_send(raw, rec + MARK_LEN + at, 1);
 	}
 	ck_assert(hn_wait_until(side.calls == (int)n, HN_LIMIT_MS));
 	ck_assert_int_eq(side.closed, 0);
@@ -223,7 +223,7 @@
 START_TEST(bad_records_close)
 {
 	struct side other = {0}, peer = {.answers = true}, side;
-	uint8_t rec[BYTES];
+	uint8_t rec[CALL_MAX_BYTES];
 	size_t i, len;
 	uint32_t arg;
 	GSocket *raw;
@@ -232,9 +232,9 @@
 	for (i = 0; i < G_N_ELEMENTS(bad_records); i++) {
 		memset(&side, 0, sizeof(side));
 		raw = open_raw(&side);
-		len = MARK + call_record(rec, 1, bad_records[i].rpcvers,
-				 bad_records[i].prog, bad_records[i].vers,
-				 bad_records[i].cred_len, 5);
+		len = MARK_LEN + call_record(rec, 1, bad_records[i].rpcvers,
+				     bad_records[i].prog, bad_records[i].vers,
+				     bad_records[i].cred_len, 5);
 		if (bad_records[i].mark != 0)
 			put_u32(rec, bad_records[i].mark);
 		raw_send(raw, rec,
@@ -278,7 +278,7 @@
 		rpc_request(side.conn, PROC, (xdrproc_t)xdr_uint32_t, &arg,
 		    HN_LIMIT_MS, on_reply, &side);
 		if (i % 2 == 0) {
-			len = MARK + call_record(rec, i, 2, PROG, 1, 0, 5);
+			len = MARK_LEN + call_record(rec, i, 2, PROG, 1, 0, 5);
 			for (j = 0; j < 1 + i % 4; j++)
 				rec[g_rand_int_range(rand, 0, len)] ^=
 				    1 << g_rand_int_range(rand, 0, 8);
@@ -286,7 +286,7 @@
 			len = g_rand_int_range(rand, 8, sizeof(rec));
 			for (j = 0; j < len; j++)
 				rec[j] = g_rand_int_range(rand, 0, 256);
-			put_u32(rec, 0x80000000U | (len - MARK));
+			put_u32(rec, 0x80000000U | (len - MARK_LEN));
 			put_u32(rec + 4, 1); /* the pending request */
 			put_u32(rec + 8, i % 4 == 1 ? 1 : 0);
 		}
--- a/tests/test_worklink.c
+++ b/tests/test_worklink.c
@@ -72,7 +72,7 @@
 	return agent->conn != NULL;
 }
 
-/* Reads until the connection closes; returns errno, or 0 if in order. */
+/* Reads until the connection closes; returns errno, 0: orderly close. */
 static int
 read_to_end(struct agent *agent)
 {
