--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -8,13 +8,13 @@
 #include "workload.h"
 
 /*
- * Replays fixed arrivals over the placement module, without sockets, and
- * prints one figure a line: name, value, unit.  docs/POLICY.md explains the
- * model and the figures.
+ * Simulates placement policies: feeds generated job arrivals to the placement
+ * module, without sockets, and prints one result per line as "name value
+ * unit".  docs/POLICY.md explains the model and the results.
  */
 
-#define MAX_SEEDS      20
-#define QUEUE_AT_AGENT 100000 /* ahead: the entry never holds a task back */
+#define MAX_SEEDS	20
+#define AHEAD_UNLIMITED 100000 /* all queueing happens at the agents */
 
 static guint n_seeds = 5;
 static guint n_tasks = 100000;
@@ -25,13 +25,13 @@
 };
 
 static const struct variant variants[] = {
-    {"random.agent_queue", {.policy = PLACE_RANDOM, .ahead = QUEUE_AT_AGENT}},
+    {"random.agent_queue", {.policy = PLACE_RANDOM, .ahead = AHEAD_UNLIMITED}},
     {"least_outstanding.agent_queue",
-	{.policy = PLACE_LEAST_OUTSTANDING, .ahead = QUEUE_AT_AGENT}},
+	{.policy = PLACE_LEAST_OUTSTANDING, .ahead = AHEAD_UNLIMITED}},
     {"two_choices.agent_queue",
-	{.policy = PLACE_TWO_CHOICES, .ahead = QUEUE_AT_AGENT}},
+	{.policy = PLACE_TWO_CHOICES, .ahead = AHEAD_UNLIMITED}},
     {"least_wait.agent_queue",
-	{.policy = PLACE_LEAST_WAIT, .ahead = QUEUE_AT_AGENT}},
+	{.policy = PLACE_LEAST_WAIT, .ahead = AHEAD_UNLIMITED}},
     {"random.ahead0", {.policy = PLACE_RANDOM}},
     {"least_outstanding.ahead0", {.policy = PLACE_LEAST_OUTSTANDING}},
     {"two_choices.ahead0", {.policy = PLACE_TWO_CHOICES}},
@@ -72,21 +72,21 @@
 	{.policy = PLACE_LEAST_WAIT, .instant = true}},
 };
 
-/* One figure over the seeds. */
-struct figure {
+/* The values of one result, one per seed. */
+struct samples {
 	double values[MAX_SEEDS];
 	guint n;
 };
 
 static void
-add(struct figure *f, double value)
+add_sample(struct samples *f, double value)
 {
 	f->values[f->n++] = value;
 }
 
 static void
-print_figure(
-    const char *prefix, const char *name, const char *unit, struct figure *f)
+print_samples(
+    const char *prefix, const char *name, const char *unit, struct samples *f)
 {
 	double sum = 0;
 	double low = f->values[0];
@@ -104,51 +104,52 @@
 	f->n = 0;
 }
 
-struct figures {
-	struct figure mean_ratio, p99_ratio, mean_ms, p99_ms, free_mean,
+struct result_samples {
+	struct samples mean_ratio, p99_ratio, mean_ms, p99_ms, free_mean,
 	    free_p99, agent_wait, lost_jobs, lost_work, return_mean, return_p99;
 };
 
 static void
-collect(struct figures *f, const struct replay_result *res)
+add_result(struct result_samples *f, const struct replay_result *res)
 {
-	add(&f->mean_ratio, res->mean_ratio);
-	add(&f->p99_ratio, res->p99_ratio);
-	add(&f->mean_ms, res->mean_ms);
-	add(&f->p99_ms, res->p99_ms);
-	add(&f->free_mean, res->free_mean_ratio);
-	add(&f->free_p99, res->free_p99_ratio);
-	add(&f->agent_wait, res->agent_wait_ms);
-	add(&f->lost_jobs, res->lost_jobs);
-	add(&f->lost_work, res->lost_work);
-	add(&f->return_mean, res->return_mean_ms);
-	add(&f->return_p99, res->return_p99_ms);
+	add_sample(&f->mean_ratio, res->mean_ratio);
+	add_sample(&f->p99_ratio, res->p99_ratio);
+	add_sample(&f->mean_ms, res->mean_ms);
+	add_sample(&f->p99_ms, res->p99_ms);
+	add_sample(&f->free_mean, res->free_mean_ratio);
+	add_sample(&f->free_p99, res->free_p99_ratio);
+	add_sample(&f->agent_wait, res->agent_wait_ms);
+	add_sample(&f->lost_jobs, res->lost_jobs);
+	add_sample(&f->lost_work, res->lost_work);
+	add_sample(&f->return_mean, res->return_mean_ms);
+	add_sample(&f->return_p99, res->return_p99_ms);
 }
 
 static void
-print_figures(
-    const char *prefix, struct figures *f, guint job_size, bool returns)
+print_result(
+    const char *prefix, struct result_samples *f, guint job_size, bool returns)
 {
-	print_figure(prefix, "mean_ratio", "ratio", &f->mean_ratio);
-	print_figure(prefix, "p99_ratio", "ratio", &f->p99_ratio);
-	print_figure(prefix, "mean", "ms", &f->mean_ms);
-	print_figure(prefix, "p99", "ms", &f->p99_ms);
+	print_samples(prefix, "mean_ratio", "ratio", &f->mean_ratio);
+	print_samples(prefix, "p99_ratio", "ratio", &f->p99_ratio);
+	print_samples(prefix, "mean", "ms", &f->mean_ms);
+	print_samples(prefix, "p99", "ms", &f->p99_ms);
 	if (job_size == 1) {
-		print_figure(prefix, "free_mean_ratio", "ratio", &f->free_mean);
-		print_figure(prefix, "free_p99_ratio", "ratio", &f->free_p99);
+		print_samples(
+		    prefix, "free_mean_ratio", "ratio", &f->free_mean);
+		print_samples(prefix, "free_p99_ratio", "ratio", &f->free_p99);
 	}
-	print_figure(prefix, "agent_wait", "ms", &f->agent_wait);
-	print_figure(prefix, "lost_jobs", "share", &f->lost_jobs);
-	print_figure(prefix, "lost_work", "share", &f->lost_work);
+	print_samples(prefix, "agent_wait", "ms", &f->agent_wait);
+	print_samples(prefix, "lost_jobs", "share", &f->lost_jobs);
+	print_samples(prefix, "lost_work", "share", &f->lost_work);
 	if (returns) {
-		print_figure(prefix, "return_mean", "ms", &f->return_mean);
-		print_figure(prefix, "return_p99", "ms", &f->return_p99);
+		print_samples(prefix, "return_mean", "ms", &f->return_mean);
+		print_samples(prefix, "return_p99", "ms", &f->return_p99);
 	}
 	fflush(stdout);
 }
 
 static struct {
-	const char *only; /* end of the names to run */
+	const char *only; /* run variants whose name ends in this */
 	guint entries;
 	double load;
 	double declared_error;
@@ -157,10 +158,10 @@
 } args = {.entries = 3, .load = 0, .job_size = -1};
 
 static void
-run(const char *name, const struct replay_options *base,
+run_variant(const char *name, const struct replay_options *base,
     struct workload_options wl)
 {
-	struct figures *f = g_new0(struct figures, 1);
+	struct result_samples *f = g_new0(struct result_samples, 1);
 	char *prefix = g_strdup_printf("entries%u.load%.0f.job%u.%s",
 	    wl.entries, wl.load * 100, wl.job_size, name);
 	guint seed;
@@ -177,10 +178,10 @@
 		opts.entries = wl.entries;
 		load = workload_new(&wl);
 		res = replay_run(load, &opts);
-		collect(f, &res);
+		add_result(f, &res);
 		workload_free(load);
 	}
-	print_figures(prefix, f, wl.job_size, base->period_us > 0);
+	print_result(prefix, f, wl.job_size, base->period_us > 0);
 	g_free(prefix);
 	g_free(f);
 }
@@ -207,22 +208,25 @@
 				if (args.only == NULL ||
 				    g_str_has_suffix(
 					variants[v].name, args.only))
-					run(variants[v].name, &variants[v].opts,
-					    wl);
+					run_variant(variants[v].name,
+					    &variants[v].opts, wl);
 			}
 		}
 	}
 }
 
-/* A failure domain leaves for 10 s in each 30 s and returns cold. */
+/*
+ * Failure domain 0 is drained for 10 s of every 30 s; its workers come back at
+ * a quarter of their speed.
+ */
 static void
 run_returns(void)
 {
 	static const struct variant returns[] = {
 	    {"return.equal_share",
-		{.policy = PLACE_RANDOM, .ahead = QUEUE_AT_AGENT}},
+		{.policy = PLACE_RANDOM, .ahead = AHEAD_UNLIMITED}},
 	    {"return.least_wait.agent_queue",
-		{.policy = PLACE_LEAST_WAIT, .ahead = QUEUE_AT_AGENT}},
+		{.policy = PLACE_LEAST_WAIT, .ahead = AHEAD_UNLIMITED}},
 	    {"return.earliest_finish.ahead1",
 		{.policy = PLACE_EARLIEST_FINISH, .ahead = 1}},
 	};
@@ -240,7 +244,7 @@
 			opts.period_us = 30000000;
 			opts.away_us = 10000000;
 			opts.cold = 0.25;
-			run(returns[v].name, &opts, wl);
+			run_variant(returns[v].name, &opts, wl);
 		}
 	}
 }
@@ -284,17 +288,20 @@
 main(int argc, char **argv)
 {
 	static const struct argp_option options[] = {
-	    {"seeds", 's', "N", 0, "replay seeds 1 to N (5)", 0},
-	    {"tasks", 't', "N", 0, "tasks of a replay (100000)", 0},
+	    {"seeds", 's', "N", 0, "run seeds 1 to N (5)", 0},
+	    {"tasks", 't', "N", 0, "tasks per run (100000)", 0},
 	    {"entries", 'e', "N", 0, "entries (3)", 0},
 	    {"load", 'l', "PERCENT", 0, "only this load", 0},
 	    {"job", 'j', "N", 0, "only jobs of this size", 0},
-	    {"only", 'o', "TEXT", 0, "only variants whose name ends so", 0},
+	    {"only", 'o', "TEXT", 0, "only variants whose name ends in TEXT",
+		0},
 	    {"declared-error", 'd', "FACTOR", 0,
-		"declared times are off by up to this factor (10)", 0},
-	    {"returns", 'r', NULL, 0, "only the return of a domain", 0}, {0}};
+		"largest error of the declared run times (10)", 0},
+	    {"returns", 'r', NULL, 0, "only the return of a failure domain", 0},
+	    {0}};
 	static const struct argp argp = {options, parse_option, NULL,
-	    "Replays arrivals over the placement module.", NULL, NULL, NULL};
+	    "Simulates placement policies on generated job arrivals.", NULL,
+	    NULL, NULL};
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, NULL) != 0)
 		return EXIT_FAILURE;
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -1,6 +1,7 @@
 /*
- * Costs of one entry and one agent, by real processes.  docs/CAPACITY.md
- * explains the figures.  A system has at most 80 agents.
+ * Measures the CPU, memory and network costs of one entry and one agent with
+ * real processes.  docs/CAPACITY.md explains the results, whose sections (a)
+ * to (f) are named below.  The test harness runs at most 80 agents.
  */
 #include <argp.h>
 #include <stdio.h>
@@ -9,18 +10,18 @@
 
 #include "probe.h"
 
-#define LIMIT_MS      60000
-#define BULK_TASKS    100
-#define BULK_CALLERS  16
-#define BULK_AGENTS   6
-#define LATENCY_CALLS 300
-#define CHANGES	      4
+#define SLOPES_TIMEOUT_MS 60000
+#define BULK_TASKS	  100
+#define BULK_CALLERS	  16
+#define BULK_AGENTS	  6
+#define LATENCY_CALLS	  300
+#define CONFIG_CHANGES	  4
 
 static gint64 window_ms = 4000;
 static struct sys sys;
 
 static void
-need(bool ok, const char *what)
+require(bool ok, const char *what)
 {
 	if (ok)
 		return;
@@ -29,9 +30,12 @@
 	exit(EXIT_FAILURE);
 }
 
-/* The text of two years ahead: 23 teams, 20 services, 6 failure domains. */
+/*
+ * Returns a configuration document of the size expected in two years: 23
+ * teams, 20 services, 6 failure domains.
+ */
 static const char *
-large_text(void)
+large_configuration(void)
 {
 	GString *text = g_string_new("{\"failure_domains\":[");
 	const char *copy;
@@ -60,41 +64,43 @@
 }
 
 static void
-start(int entries, int domains, const char *text)
+start_system(int entries, int domains, const char *text)
 {
 	sys_launch(&sys, &(struct sys_options){.entries = entries,
 			     .domains = domains,
 			     .direct = true,
 			     .text = text});
-	need(hn_wait_until(sys_apply(&sys, 0, sys.text, 0), LIMIT_MS),
+	require(
+	    hn_wait_until(sys_apply(&sys, 0, sys.text, 0), SLOPES_TIMEOUT_MS),
 	    "the configuration was not accepted");
 }
 
 static bool
-connected(int entry)
+all_agents_connected(int entry)
 {
 	const char *text =
 	    hn_http("GET", sys_url(&sys, entry, "/metrics"), NULL)->body;
 
-	return (int)metric(text, "sp_agents_connected") == sys.opts.agents;
+	return (int)metric_value(text, "sp_agents_connected") ==
+	       sys.opts.agents;
 }
 
 static void
 add_agents(int n, const char *settings)
 {
 	sys_add_agents(&sys, n, settings);
-	need(hn_wait_until(connected(0), LIMIT_MS),
+	require(hn_wait_until(all_agents_connected(0), SLOPES_TIMEOUT_MS),
 	    "the agents did not connect");
-	hn_sleep(1000); /* announcements and first heartbeats */
+	hn_sleep(1000); /* for endpoint announcements and first heartbeats */
 }
 
-/* Prints what a process uses in a second. */
+/* Reports CPU time and bytes per second, and resident memory. */
 static void
 print_rates(const char *name, struct reading r)
 {
-	figure("us/s", r.cpu_us / r.at_s, "%s.cpu", name);
-	figure("KB", r.rss_kb, "%s.memory", name);
-	figure("B/s", r.bytes / r.at_s, "%s.bytes", name);
+	report("us/s", r.cpu_us / r.at_s, "%s.cpu", name);
+	report("KB", r.rss_kb, "%s.memory", name);
+	report("B/s", r.bytes / r.at_s, "%s.bytes", name);
 }
 
 /* Least-squares slope of y over x. */
@@ -125,18 +131,18 @@
 		memory[i] = used[i].rss_kb;
 		bytes[i] = used[i].bytes / used[i].at_s;
 	}
-	figure("us/s", slope(x, cpu, n), "%s.cpu", name);
-	figure("KB", slope(x, memory, n), "%s.memory", name);
-	figure("B/s", slope(x, bytes, n), "%s.bytes", name);
+	report("us/s", slope(x, cpu, n), "%s.cpu", name);
+	report("KB", slope(x, memory, n), "%s.memory", name);
+	report("B/s", slope(x, bytes, n), "%s.bytes", name);
 }
 
 static bool
-all_hold(int64_t version)
+all_agents_have(int64_t version)
 {
 	int i;
 
 	for (i = 0; i < sys.opts.agents; i++) {
-		if ((int64_t)metric(
+		if ((int64_t)metric_value(
 			agent_metrics(&sys, i), "sp_config_version") < version)
 			return false;
 	}
@@ -155,75 +161,77 @@
 }
 
 /*
- * Costs of a change: the document is written anew each time.  Nothing asks
- * for counters while the costs are taken; that load is measured beside it.
+ * Measures the cost of a configuration change, less the idle cost.  Each
+ * change writes the complete document again.  Metrics are not read between
+ * the changes, since answering these requests would add to the cost.
  */
 static void
-change_cost(struct reading idle, double agents_idle_us_s)
+measure_change_cost(struct reading idle, double agents_idle_us_s)
 {
 	int64_t version = sys_version(&sys, 0);
 	struct reading before = read_entry(&sys, 0), used;
-	double cpu = agents_cpu(), n = CHANGES, agents = sys.opts.agents;
+	double cpu = agents_cpu(), n = CONFIG_CHANGES, agents = sys.opts.agents;
 	int i;
 
-	for (i = 0; i < CHANGES; i++) {
-		need(
+	for (i = 0; i < CONFIG_CHANGES; i++) {
+		require(
 		    sys_apply(&sys, 0, sys.text, version + i), "apply refused");
-		hn_sleep(1200); /* over two heartbeats */
+		hn_sleep(1200); /* more than two heartbeat intervals */
 	}
 	used = reading_since(before, read_entry(&sys, 0));
 	cpu = agents_cpu() - cpu - agents_idle_us_s * used.at_s;
-	figure("B",
+	report("B",
 	    (used.bytes - idle.bytes / idle.at_s * used.at_s) / n / agents,
 	    "change.bytes_per_agent");
-	figure("us",
+	report("us",
 	    (used.cpu_us - idle.cpu_us / idle.at_s * used.at_s) / n / agents,
 	    "change.entry_cpu_per_agent");
-	figure("us", cpu / n / agents, "change.agent_cpu");
-	figure("calls",
+	report("us", cpu / n / agents, "change.agent_cpu");
+	report("calls",
 	    (used.store_calls - idle.store_calls / idle.at_s * used.at_s) / n,
 	    "change.store_calls");
 }
 
 static void
-change_time(void)
+measure_change_time(void)
 {
-	GArray *held = g_array_new(FALSE, FALSE, sizeof(double));
-	GArray *force = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *held_ms = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *in_force_ms = g_array_new(FALSE, FALSE, sizeof(double));
 	int i;
 
-	for (i = 0; i < CHANGES / 2; i++) {
+	for (i = 0; i < CONFIG_CHANGES / 2; i++) {
 		int64_t version = sys_version(&sys, 0);
 		int64_t from_ms = hn_now_ms();
 		double ms;
 
-		need(sys_apply(&sys, 0, sys.text, version), "apply refused");
-		need(hn_wait_until(all_hold(version + 1), LIMIT_MS),
-		    "agents do not get the change");
+		require(sys_apply(&sys, 0, sys.text, version), "apply refused");
+		require(hn_wait_until(
+			    all_agents_have(version + 1), SLOPES_TIMEOUT_MS),
+		    "agents did not receive the configuration");
 		ms = (double)(hn_now_ms() - from_ms);
-		g_array_append_val(held, ms);
-		need(
-		    hn_wait_until(sys_in_force(&sys, 0, version + 1), LIMIT_MS),
-		    "the change does not come into force");
+		g_array_append_val(held_ms, ms);
+		require(hn_wait_until(sys_in_force(&sys, 0, version + 1),
+			    SLOPES_TIMEOUT_MS),
+		    "the configuration did not take effect");
 		ms = (double)(hn_now_ms() - from_ms);
-		g_array_append_val(force, ms);
+		g_array_append_val(in_force_ms, ms);
 	}
-	figure_spread("change.held_by_all_agents", "ms", held);
-	figure_spread("change.in_force", "ms", force);
-	g_array_unref(held);
-	g_array_unref(force);
+	report_distribution("change.held_by_all_agents", "ms", held_ms);
+	report_distribution("change.in_force", "ms", in_force_ms);
+	g_array_unref(held_ms);
+	g_array_unref(in_force_ms);
 }
 
-/* (a), (d), (e): one entry with more and more agents. */
+/* (a), (d), (e): cost of one entry with 0, 10, 40 and 80 agents. */
 static void
-entry_slopes(void)
+measure_entry_by_agents(void)
 {
 	static const double counts[] = {0, 10, 40, 80};
 	struct reading used[4];
 	double cpu = 0;
 	int i;
 
-	start(1, 6, large_text());
+	start_system(1, 6, large_configuration());
 	for (i = 0; i < 4; i++) {
 		struct reading before;
 
@@ -237,32 +245,32 @@
 	}
 	cpu = (agents_cpu() - cpu) / used[3].at_s;
 	print_slopes("entry.idle.per_agent", counts, used, 4);
-	figure("calls/s", used[3].store_calls / used[3].at_s,
+	report("calls/s", used[3].store_calls / used[3].at_s,
 	    "entry.idle.store_calls");
-	figure("B", (double)strlen(sys.text), "change.text_size");
-	change_cost(used[3], cpu);
-	change_time();
+	report("B", (double)strlen(sys.text), "change.text_size");
+	measure_change_cost(used[3], cpu);
+	measure_change_time();
 	hn_finish();
 }
 
-/* (a): four agents with different numbers of connections. */
+/* (a): cost of an agent with connections to 1, 2, 4 and 8 entries. */
 static void
-agent_slopes(void)
+measure_agent_by_entries(void)
 {
 	static const double counts[] = {1, 2, 4, 8};
 	struct reading before[4], used[4], entry;
 	int i;
 
-	start(8, 3, NULL);
+	start_system(8, 3, NULL);
 	for (i = 0; i < 4; i++)
 		sys_add_agents(&sys, 1,
 		    hn_str(",\"entry_connections\":%d", (int)counts[i]));
 	for (i = 0; i < 4; i++)
-		need(
-		    hn_wait_until((int)metric(agent_metrics(&sys, i),
+		require(
+		    hn_wait_until((int)metric_value(agent_metrics(&sys, i),
 				      "sp_entries_connected") == (int)counts[i],
-			LIMIT_MS),
-		    "an agent lacks connections");
+			SLOPES_TIMEOUT_MS),
+		    "an agent did not connect to all its entries");
 	hn_sleep(2000);
 	entry = read_entry(&sys, 7);
 	for (i = 0; i < 4; i++)
@@ -275,15 +283,16 @@
 	}
 	print_slopes("agent.idle.per_entry", counts, used, 4);
 	entry = reading_since(entry, read_entry(&sys, 7));
-	figure("calls/s", entry.store_calls / entry.at_s,
+	report("calls/s", entry.store_calls / entry.at_s,
 	    "entry.idle.store_calls_of_8");
 	hn_finish();
 }
 
-static GPtrArray *ids; /* minted ahead: callbacks must not wait for them */
+/* Requested in advance, since callbacks cannot wait for an answer. */
+static GPtrArray *ids;
 
 static void
-mint(guint n)
+request_ids(guint n)
 {
 	int i;
 
@@ -293,7 +302,7 @@
 		struct hn_http *http = hn_http(
 		    "POST", sys_url(&sys, 0, "/v1/ids"), "{\"count\":1000}");
 
-		need(http->status == 200, "no ids");
+		require(http->status == 200, "the entry issued no job ids");
 		for (i = 0; i < 1000; i++)
 			g_ptr_array_add(ids,
 			    (gpointer)hn_json_str(http, hn_str("ids.%d", i)));
@@ -301,62 +310,66 @@
 }
 
 static const char *
-job_url(void)
+take_id(void)
 {
 	return g_ptr_array_steal_index(ids, ids->len - 1);
 }
 
 struct bulk {
 	const char *body;
-	int left, open, failed;
+	int unsent, in_flight, failed;
 };
 
-static void submit(struct bulk *bulk);
+static void submit_next(struct bulk *bulk);
 
 static void
-on_bulk(struct call *call, void *ctx)
+on_bulk_answer(struct call *call, void *ctx)
 {
 	struct bulk *bulk = ctx;
 
-	bulk->open--;
+	bulk->in_flight--;
 	bulk->failed += call->status != 200;
 	call_free(call);
-	submit(bulk);
+	submit_next(bulk);
 }
 
 static void
-submit(struct bulk *bulk)
+submit_next(struct bulk *bulk)
 {
 	const char *id;
 
-	if (bulk->left == 0)
+	if (bulk->unsent == 0)
 		return;
-	bulk->left--;
-	id = job_url();
-	bulk->open++;
+	bulk->unsent--;
+	id = take_id();
+	bulk->in_flight++;
 	call_send("PUT",
 	    sys_url(&sys, 0, hn_str("/v1/jobs/%s?wait_ms=60000", id)),
-	    bulk->body, on_bulk, bulk);
+	    bulk->body, on_bulk_answer, bulk);
 }
 
-/* Submits n jobs from so many callers and waits for all answers. */
+/*
+ * Submits n jobs, at most "callers" of them at a time, and waits for the
+ * answers.
+ */
 static void
 run_bulk(int n, int callers, const char *body)
 {
-	struct bulk bulk = {.body = body, .left = n};
+	struct bulk bulk = {.body = body, .unsent = n};
 	int i;
 
-	mint((guint)n);
+	request_ids((guint)n);
 	for (i = 0; i < callers; i++)
-		submit(&bulk);
-	need(hn_wait_until(bulk.open == 0 && bulk.left == 0, LIMIT_MS),
-	    "jobs did not end");
-	need(bulk.failed == 0, "jobs failed");
+		submit_next(&bulk);
+	require(hn_wait_until(
+		    bulk.in_flight == 0 && bulk.unsent == 0, SLOPES_TIMEOUT_MS),
+	    "jobs were not answered in time");
+	require(bulk.failed == 0, "jobs failed");
 }
 
-/* (b): starts of no-op tasks. */
+/* (b): cost of starting tasks that do nothing. */
 static void
-start_cost(int n_jobs)
+measure_start_cost(int n_jobs)
 {
 	const char *body = sys_body(BULK_TASKS, "{}");
 	struct reading entry, agents[BULK_AGENTS], used = {0};
@@ -368,24 +381,24 @@
 	for (i = 0; i < BULK_AGENTS; i++)
 		agents[i] = read_agent(&sys, i);
 	run_bulk(n_jobs, BULK_CALLERS, body);
-	hn_sleep(250); /* counters are copied every 200 ms */
+	hn_sleep(250); /* processes publish their counters every 200 ms */
 	used = reading_since(entry, read_entry(&sys, 0));
 	for (i = 0; i < BULK_AGENTS; i++)
 		agent_cpu +=
 		    reading_since(agents[i], read_agent(&sys, i)).cpu_us;
 	starts = (double)n_jobs * BULK_TASKS;
 	used.at_s -= 0.25;
-	figure("us", used.cpu_us / starts, "start.entry_cpu");
-	figure("us", agent_cpu / starts, "start.agent_cpu");
-	figure("starts/s", starts / used.at_s, "start.rate");
-	figure("share", used.cpu_us / used.at_s / 1e6, "start.entry_core");
-	figure("starts/s", starts / used.cpu_us * 1e6, "start.rate_of_a_core");
-	figure("B", used.bytes / starts, "start.entry_bytes");
+	report("us", used.cpu_us / starts, "start.entry_cpu");
+	report("us", agent_cpu / starts, "start.agent_cpu");
+	report("starts/s", starts / used.at_s, "start.rate");
+	report("share", used.cpu_us / used.at_s / 1e6, "start.entry_core");
+	report("starts/s", starts / used.cpu_us * 1e6, "start.rate_of_a_core");
+	report("B", used.bytes / starts, "start.entry_bytes");
 }
 
-/* (c): memory of finished records and of queued tasks. */
+/* (c): memory per record of a finished job and per queued task. */
 static void
-memory_cost(void)
+measure_memory(void)
 {
 	const char *one = sys_body(1, "{}");
 	const char *many = sys_body(1000, "{\"run_ms\":60000}");
@@ -395,39 +408,42 @@
 
 	before = read_entry(&sys, 0).rss_kb;
 	run_bulk(4000, 32, one);
-	figure("B", (read_entry(&sys, 0).rss_kb - before) * 1024 / 4000,
+	report("B", (read_entry(&sys, 0).rss_kb - before) * 1024 / 4000,
 	    "memory.finished_record");
-	mint(20);
+	request_ids(20);
 	before = read_entry(&sys, 0).rss_kb;
 	for (i = 0; i < 20; i++) {
-		queued[i] = job_url();
-		need(hn_http("PUT",
-			 sys_url(&sys, 0, hn_str("/v1/jobs/%s", queued[i])),
-			 many)
-			     ->status == 202,
+		queued[i] = take_id();
+		require(hn_http("PUT",
+			    sys_url(&sys, 0, hn_str("/v1/jobs/%s", queued[i])),
+			    many)
+				->status == 202,
 		    "a job was not queued");
 	}
-	figure("B", (read_entry(&sys, 0).rss_kb - before) * 1024 / 20000,
+	report("B", (read_entry(&sys, 0).rss_kb - before) * 1024 / 20000,
 	    "memory.queued_task");
 }
 
 static double
-timed(const char *method, const char *url, const char *body)
+call_time_us(const char *method, const char *url, const char *body)
 {
 	struct call *call = call_send(method, url, body, NULL, NULL);
 	double us;
 
 	while (!call->done)
 		g_main_context_iteration(NULL, TRUE);
-	need(call->status == 200, url);
+	require(call->status == 200, url);
 	us = (double)(call->ended_us - call->sent_us);
 	call_free(call);
 	return us;
 }
 
-/* (f): calls through the system over the same call made directly. */
+/*
+ * (f): latency that the system adds to a direct call of the endpoint, for a
+ * job of one task and for a request passed through to the service.
+ */
 static void
-added_latency(void)
+measure_added_latency(void)
 {
 	const char *endpoint =
 	    hn_str("http://127.0.0.1:%u/tasks", sys.agent[0].endpoint_port);
@@ -438,35 +454,35 @@
 	GArray *passed = g_array_new(FALSE, FALSE, sizeof(double));
 	int i;
 
-	mint(LATENCY_CALLS);
+	request_ids(LATENCY_CALLS);
 	for (i = 0; i < LATENCY_CALLS; i++) {
 		const char *url = sys_url(
-		    &sys, 0, hn_str("/v1/jobs/%s?wait_ms=20000", job_url()));
-		double us = timed("POST", endpoint, "{}");
-		double us_job = timed("PUT", url, one) - us;
-		double us_pass = timed("POST", pass, "{}") - us;
+		    &sys, 0, hn_str("/v1/jobs/%s?wait_ms=20000", take_id()));
+		double us = call_time_us("POST", endpoint, "{}");
+		double us_job = call_time_us("PUT", url, one) - us;
+		double us_pass = call_time_us("POST", pass, "{}") - us;
 
 		g_array_append_val(direct, us);
 		g_array_append_val(job, us_job);
 		g_array_append_val(passed, us_pass);
 	}
-	figure_spread("latency.direct", "us", direct);
-	figure_spread("latency.job_added", "us", job);
-	figure_spread("latency.pass_added", "us", passed);
+	report_distribution("latency.direct", "us", direct);
+	report_distribution("latency.job_added", "us", job);
+	report_distribution("latency.pass_added", "us", passed);
 	g_array_unref(direct);
 	g_array_unref(job);
 	g_array_unref(passed);
 }
 
 static void
-loaded(int n_jobs)
+measure_load(int n_jobs)
 {
-	start(1, 3, NULL);
+	start_system(1, 3, NULL);
 	sys_add_agents(&sys, BULK_AGENTS, NULL);
 	sys_wait_ready(&sys);
-	added_latency();
-	start_cost(n_jobs);
-	memory_cost();
+	measure_added_latency();
+	measure_start_cost(n_jobs);
+	measure_memory();
 	hn_finish();
 }
 
@@ -497,7 +513,7 @@
 }
 
 static bool
-wanted(const char *part)
+part_selected(const char *part)
 {
 	return strcmp(only, "all") == 0 || strcmp(only, part) == 0;
 }
@@ -507,21 +523,21 @@
 {
 	static const struct argp_option options[] = {
 	    {"json", 'j', NULL, 0, "print JSON", 0},
-	    {"window", 'w', "MS", 0, "length of an idle reading (4000)", 0},
+	    {"window", 'w', "MS", 0, "length of an idle measurement (4000)", 0},
 	    {"jobs", 'n', "N", 0, "jobs of 100 tasks (100)", 0},
 	    {"only", 'o', "PART", 0, "entry, agent or load", 0}, {0}};
 	static const struct argp argp = {options, parse_option, NULL,
-	    "Measures costs of an entry and an agent.", NULL, NULL, NULL};
+	    "Measures the costs of an entry and an agent.", NULL, NULL, NULL};
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, NULL) != 0)
 		return EXIT_FAILURE;
-	figures_begin(json);
-	if (wanted("load"))
-		loaded(n_jobs);
-	if (wanted("entry"))
-		entry_slopes();
-	if (wanted("agent"))
-		agent_slopes();
-	figures_end();
+	results_begin(json);
+	if (part_selected("load"))
+		measure_load(n_jobs);
+	if (part_selected("entry"))
+		measure_entry_by_agents();
+	if (part_selected("agent"))
+		measure_agent_by_entries();
+	results_end();
 	return EXIT_SUCCESS;
 }
--- a/bench/bench_system.c
+++ b/bench/bench_system.c
@@ -1,8 +1,8 @@
 /*
- * Open-loop load on a system of real processes: 3 entries and 10 workers of
- * different speed in 3 failure domains, with the latencies of the workload
- * on the way.  docs/POLICY.md explains the figures.  The exit status is not 0
- * when a guarantee was violated.
+ * Puts open-loop load on a system of real processes: 3 entries and 10 workers
+ * of different speed in 3 failure domains.  A proxy adds the network latencies
+ * that the workload model assumes.  docs/POLICY.md explains the results.  The
+ * exit status is not 0 when a guarantee was violated.
  */
 #include <argp.h>
 #include <signal.h>
@@ -13,46 +13,52 @@
 #include "probe.h"
 #include "workload.h"
 
-#define LIMIT_MS	120000
-#define IDS_PER_REQUEST 1000
-#define WARM_UP		0.1 /* share of jobs without a ratio, as in the replay */
-#define SAMPLE_MS	100
-#define CHANGE_LOAD	1.2 /* work must not run out while a domain is away */
-#define LEAVE_MS	4000
-#define RETURN_MS	12000
-#define CHANGE_END_MS	18000
+#define JOBS_TIMEOUT_MS	   120000
+#define IDS_PER_REQUEST	   1000
+#define WARM_UP_SHARE	   0.1 /* of the jobs, without ratios, as in replay.c */
+#define SAMPLE_INTERVAL_MS 100
+#define OUTAGE_LOAD	   1.2 /* over capacity, so that workers never idle */
+#define OUTAGE_BEGIN_MS	   4000
+#define OUTAGE_END_MS	   12000
+#define OUTAGE_RUN_MS	   18000
 
 static struct sys sys;
 static struct workload *load;
 static uint64_t seed = 1;
 
-/* Violations of the guarantees; all must stay 0. */
+/*
+ * Violations of guarantees; all must stay 0: tasks started more than once,
+ * answers without all results, results of another task, tasks that started
+ * although their job was answered "not_run", and starts in a failure domain
+ * after it had been taken out.
+ */
 static struct {
-	int duplicates, partial, foreign, ran_though_not_run, after_out;
+	int duplicate_starts, partial_answers, foreign_results,
+	    not_run_that_ran, starts_after_out;
 } violations;
 
 static GHashTable *refusals; /* code -> count */
-static GHashTable *starts;   /* task id -> count, of all endpoints */
-static GPtrArray *not_run;   /* ids of jobs answered so */
+static GHashTable *starts;   /* task id -> starts at all endpoints */
+static GPtrArray *not_run;   /* ids of jobs answered "not_run" */
 
-struct sent {
+struct job_call {
 	const char *id;
 	uint32_t job;
 	struct call *call;
 	bool complete;
-	double ms; /* since the time of the workload, not of the sending */
+	double ms; /* response time, counted from the scheduled send time */
 };
 
 static struct {
-	struct sent *jobs;
-	uint32_t next, open, complete, failed;
-	int64_t from_us;
+	struct job_call *jobs;
+	uint32_t next, in_flight, complete, failed;
+	int64_t start_us;
 	guint timer;
 	GPtrArray *ids[DOMAINS];
 } run;
 
 static const char *
-mint(uint32_t entry)
+take_id(uint32_t entry)
 {
 	GPtrArray *ids = run.ids[entry];
 
@@ -60,7 +66,7 @@
 }
 
 static void
-mint_all(void)
+request_ids(void)
 {
 	uint32_t e, n;
 	int i;
@@ -100,21 +106,21 @@
 	return g_string_free(body, FALSE);
 }
 
-/* Each task has its own result, and no result is of another job. */
+/* Checks that each task has a result and that it is the task's own. */
 static void
-check_results(const struct sent *sent, struct json_object *root)
+check_results(const struct job_call *job_call, struct json_object *root)
 {
 	struct json_object *results = json_object_object_get(root, "results");
 	size_t i, n = json_object_is_type(results, json_type_array)
 			  ? json_object_array_length(results)
 			  : 0;
 
-	if (n != load->jobs[sent->job].n)
-		violations.partial++;
+	if (n != load->jobs[job_call->job].n)
+		violations.partial_answers++;
 	for (i = 0; i < n; i++) {
 		struct json_object *item =
 		    json_object_array_get_idx(results, i);
-		char *id = g_strdup_printf("%s/%u", sent->id, (guint)i);
+		char *id = g_strdup_printf("%s/%u", job_call->id, (guint)i);
 		const char *text = json_object_get_string(
 		    json_object_object_get(item, "body"));
 
@@ -124,14 +130,15 @@
 		if (g_strcmp0(json_object_get_string(
 				  json_object_object_get(body, "task")),
 			id) != 0)
-			violations.foreign++;
+			violations.foreign_results++;
 		json_object_put(body);
 		g_free(id);
 	}
 }
 
 static void
-count_refusal(const struct sent *sent, struct json_object *root, int status)
+count_refusal(
+    const struct job_call *job_call, struct json_object *root, int status)
 {
 	const char *code =
 	    json_object_get_string(json_object_object_get(root, "error"));
@@ -143,53 +150,53 @@
 
 	g_hash_table_replace(refusals, (gpointer)key, GINT_TO_POINTER(n + 1));
 	if (g_strcmp0(ran, "not_run") == 0)
-		g_ptr_array_add(not_run, (gpointer)sent->id);
+		g_ptr_array_add(not_run, (gpointer)job_call->id);
 	run.failed++;
 }
 
 static void
 on_answer(struct call *call, void *ctx)
 {
-	struct sent *sent = ctx;
+	struct job_call *job_call = ctx;
 	struct json_object *root =
 	    call->body != NULL ? json_tokener_parse(call->body) : NULL;
 
-	sent->ms = (double)(call->ended_us - run.from_us -
-			    load->jobs[sent->job].sent_us) /
-		   1000;
-	sent->complete = call->status == 200;
-	if (sent->complete) {
+	job_call->ms = (double)(call->ended_us - run.start_us -
+				load->jobs[job_call->job].sent_us) /
+		       1000;
+	job_call->complete = call->status == 200;
+	if (job_call->complete) {
 		run.complete++;
-		check_results(sent, root);
+		check_results(job_call, root);
 	} else {
-		count_refusal(sent, root, call->status);
+		count_refusal(job_call, root, call->status);
 	}
 	json_object_put(root);
 	call_free(call);
-	run.open--;
+	run.in_flight--;
 }
 
 static void
 submit(uint32_t job)
 {
-	struct sent *sent = &run.jobs[job];
+	struct job_call *job_call = &run.jobs[job];
 	int entry = (int)load->jobs[job].entry;
 	char *body = job_body(&load->jobs[job]);
 
-	sent->job = job;
-	sent->id = mint(load->jobs[job].entry);
-	run.open++;
+	job_call->job = job;
+	job_call->id = take_id(load->jobs[job].entry);
+	run.in_flight++;
 	call_send("PUT",
-	    sys_far_url(
-		&sys, entry, hn_str("/v1/jobs/%s?wait_ms=120000", sent->id)),
-	    body, on_answer, sent);
+	    sys_far_url(&sys, entry,
+		hn_str("/v1/jobs/%s?wait_ms=120000", job_call->id)),
+	    body, on_answer, job_call);
 	g_free(body);
 }
 
 static gboolean
 on_due(gpointer data)
 {
-	int64_t now_us = g_get_monotonic_time() - run.from_us;
+	int64_t now_us = g_get_monotonic_time() - run.start_us;
 
 	(void)data;
 	while (
@@ -202,7 +209,7 @@
 }
 
 static void
-begin(double share, uint32_t job_size, double seconds)
+start_load(double share, uint32_t job_size, double seconds)
 {
 	struct workload_options opts = {.seed = seed,
 	    .load = share,
@@ -212,26 +219,28 @@
 
 	memset(&run, 0, sizeof(run));
 	load = workload_new(&opts);
-	/* About 0.43 s of work in a task. */
+	/* A task has 0.43 s of work on average. */
 	opts.n_tasks =
 	    (uint32_t)(seconds * share * workload_capacity(load) / 0.43);
 	workload_free(load);
 	load = workload_new(&opts);
-	run.jobs = g_new0(struct sent, load->n_jobs);
-	mint_all();
-	run.from_us = g_get_monotonic_time();
+	run.jobs = g_new0(struct job_call, load->n_jobs);
+	request_ids();
+	run.start_us = g_get_monotonic_time();
 	run.timer = g_timeout_add(1, on_due, NULL);
 }
 
 /* Waits for all answers. */
 static void
-end(void)
+finish_load(void)
 {
 	int i;
 
-	if (!hn_wait_until(run.timer == 0 && run.open == 0, LIMIT_MS)) {
-		fprintf(
-		    stderr, "bench_system: %u jobs got no answer\n", run.open);
+	if (!hn_wait_until(
+		run.timer == 0 && run.in_flight == 0, JOBS_TIMEOUT_MS)) {
+		fprintf(stderr,
+		    "bench_system: %u jobs were not answered in time\n",
+		    run.in_flight);
 		exit(EXIT_FAILURE);
 	}
 	for (i = 0; i < DOMAINS; i++)
@@ -249,8 +258,8 @@
 	for (k = 0; k < G_N_ELEMENTS(sizes); k++) {
 		GArray *ratios = g_array_new(FALSE, FALSE, sizeof(double));
 
-		for (i = (uint32_t)(WARM_UP * load->n_jobs); i < load->n_jobs;
-		     i++) {
+		for (i = (uint32_t)(WARM_UP_SHARE * load->n_jobs);
+		     i < load->n_jobs; i++) {
 			double ratio = run.jobs[i].ms * 1000 /
 				       (double)load->jobs[i].ideal_us;
 
@@ -258,7 +267,7 @@
 				g_array_append_val(ratios, ratio);
 		}
 		if (ratios->len > 0)
-			figure_spread(
+			report_distribution(
 			    hn_str("%s.job%u.ratio", prefix, sizes[k]), "ratio",
 			    ratios);
 		g_array_unref(ratios);
@@ -280,20 +289,24 @@
 		const char *text =
 		    hn_http("GET", sys_url(&sys, i, "/metrics"), NULL)->body;
 
-		m.all += metric(text, "sp_rpc_records_out_total");
-		m.starts += metric(text, "sp_starts_total");
-		m.start += metric(text, "sp_start_messages_total");
-		m.results += metric(text, "sp_results_messages_total");
-		m.heartbeats += metric(text, "sp_heartbeats_total");
-		m.store += metric(text, "sp_store_calls_total");
+		m.all += metric_value(text, "sp_rpc_records_out_total");
+		m.starts += metric_value(text, "sp_starts_total");
+		m.start += metric_value(text, "sp_start_messages_total");
+		m.results += metric_value(text, "sp_results_messages_total");
+		m.heartbeats += metric_value(text, "sp_heartbeats_total");
+		m.store += metric_value(text, "sp_store_calls_total");
 	}
 	for (i = 0; i < sys.opts.agents; i++)
-		m.all +=
-		    metric(agent_metrics(&sys, i), "sp_rpc_records_out_total");
+		m.all += metric_value(
+		    agent_metrics(&sys, i), "sp_rpc_records_out_total");
 	return m;
 }
 
-/* Of the time in which jobs arrive, without the end of the last ones. */
+/*
+ * Reports messages per started task.  Called when the last job has been sent,
+ * so that the time in which the load runs down does not count.  Messages that
+ * start tasks or return results are needed, all others are overhead.
+ */
 static void
 print_messages(const char *prefix, struct messages before)
 {
@@ -302,17 +315,18 @@
 	double needed = m.start - before.start + m.results - before.results;
 	double all = m.all - before.all;
 	/* Each heartbeat has a reply. */
-	double beats = 2 * (m.heartbeats - before.heartbeats);
+	double heartbeat_messages = 2 * (m.heartbeats - before.heartbeats);
 	double store = m.store - before.store;
 
-	figure("messages/task", needed / tasks, "%s.needed", prefix);
-	figure("messages/task", (all - needed + store) / tasks, "%s.wasted",
+	report("messages/task", needed / tasks, "%s.needed", prefix);
+	report("messages/task", (all - needed + store) / tasks, "%s.wasted",
 	    prefix);
-	figure("messages/task", beats / tasks, "%s.wasted.heartbeats", prefix);
-	figure("messages/task", store / tasks, "%s.wasted.store", prefix);
-	figure("messages/task", (all - needed - beats) / tasks,
+	report("messages/task", heartbeat_messages / tasks,
+	    "%s.wasted.heartbeats", prefix);
+	report("messages/task", store / tasks, "%s.wasted.store", prefix);
+	report("messages/task", (all - needed - heartbeat_messages) / tasks,
 	    "%s.wasted.other", prefix);
-	figure("s", m.seconds - before.seconds, "%s.time", prefix);
+	report("s", m.seconds - before.seconds, "%s.time", prefix);
 }
 
 static void
@@ -322,16 +336,16 @@
 	struct messages before;
 
 	before = count_messages();
-	begin(share, job_size, seconds);
-	hn_wait_until(run.timer == 0, LIMIT_MS);
+	start_load(share, job_size, seconds);
+	hn_wait_until(run.timer == 0, JOBS_TIMEOUT_MS);
 	print_messages(prefix, before);
-	hn_wait_until(run.open == 0, LIMIT_MS);
+	hn_wait_until(run.in_flight == 0, JOBS_TIMEOUT_MS);
 	print_ratios(prefix);
-	figure("jobs", run.failed, "%s.failed", prefix);
-	end();
+	report("jobs", run.failed, "%s.failed", prefix);
+	finish_load();
 }
 
-/* Adds an endpoint's own counts to the starts of all. */
+/* Adds the starts that one endpoint counted to the starts of all. */
 static void
 collect_starts(int agent)
 {
@@ -364,23 +378,23 @@
 		collect_starts((int)i);
 	g_hash_table_iter_init(&iter, starts);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		violations.duplicates += GPOINTER_TO_INT(value) > 1;
+		violations.duplicate_starts += GPOINTER_TO_INT(value) > 1;
 		for (i = 0; i < not_run->len; i++)
-			violations.ran_though_not_run +=
+			violations.not_run_that_ran +=
 			    g_str_has_prefix(key, not_run->pdata[i]);
 	}
 }
 
-/* Work under way, by the endpoints' count of slots in use. */
+/* Work done and capacity, sampled from the slots in use at the endpoints. */
 static struct {
 	int in_use[WORKERS];
-	bool away; /* domain 0 does not count as capacity */
+	bool away; /* domain 0 is out and adds no capacity */
 	double done, capacity;
 	bool on;
-} work;
+} outage_work;
 
 static void
-on_in_use(struct call *call, void *ctx)
+on_slots_in_use(struct call *call, void *ctx)
 {
 	const char *at =
 	    call->body != NULL ? strstr(call->body, "\"in_use\":") : NULL;
@@ -395,17 +409,17 @@
 	int i;
 
 	(void)data;
-	for (i = 0; i < WORKERS && work.on; i++) {
-		bool away = work.away && worker_domain((uint32_t)i) == 0;
+	for (i = 0; i < WORKERS && outage_work.on; i++) {
+		bool away = outage_work.away && worker_domain((uint32_t)i) == 0;
 
-		work.done += work.in_use[i] * load->speed[i];
-		work.capacity += away ? 0 : SLOTS * load->speed[i];
+		outage_work.done += outage_work.in_use[i] * load->speed[i];
+		outage_work.capacity += away ? 0 : SLOTS * load->speed[i];
 		call_send("GET",
 		    hn_str("http://127.0.0.1:%u/control/starts?summary=1",
 			sys.agent[i].endpoint_port),
-		    NULL, on_in_use, &work.in_use[i]);
+		    NULL, on_slots_in_use, &outage_work.in_use[i]);
 	}
-	return work.on;
+	return outage_work.on;
 }
 
 static int64_t
@@ -420,14 +434,14 @@
 }
 
 static void
-spctl(const char *command)
+run_spctl(const char *command)
 {
 	struct hn_proc *proc = hn_start(
 	    "spctl", (const char *[]){"spctl", "--entry",
 			 hn_str("http://127.0.0.1:%u", sys.entry[1].operators),
 			 command, "failure_domain", "domain-0", NULL});
 
-	if (hn_wait_exit(proc, LIMIT_MS) != 0)
+	if (hn_wait_exit(proc, JOBS_TIMEOUT_MS) != 0)
 		fprintf(stderr, "bench_system: spctl %s failed\n", command);
 }
 
@@ -440,30 +454,33 @@
 static void
 sleep_until(int64_t ms)
 {
-	int64_t left = ms - (g_get_monotonic_time() - run.from_us) / 1000;
+	int64_t left = ms - (g_get_monotonic_time() - run.start_us) / 1000;
 
 	if (left > 0)
 		hn_sleep(left);
 }
 
 static void
-leave_planned(void)
+take_domain_out(void)
 {
 	int64_t counted;
 
-	work.away = true;
-	spctl("out");
-	sleep_until(LEAVE_MS + SYS_BOUND_MS);
+	outage_work.away = true;
+	run_spctl("out");
+	sleep_until(OUTAGE_BEGIN_MS + SYS_BOUND_MS);
 	counted = starts_in_domain_0();
-	sleep_until(RETURN_MS);
-	violations.after_out += (int)(starts_in_domain_0() - counted);
-	work.away = false;
-	spctl("in");
+	sleep_until(OUTAGE_END_MS);
+	violations.starts_after_out += (int)(starts_in_domain_0() - counted);
+	outage_work.away = false;
+	run_spctl("in");
 }
 
-/* Stops the agents first, so that the endpoints' counts are final. */
+/*
+ * Kills the agents and endpoints of domain 0.  The agents are stopped before
+ * the starts are read, so that no start follows that would not be counted.
+ */
 static void
-leave_killed(void)
+kill_domain(void)
 {
 	int i;
 
@@ -475,40 +492,43 @@
 		hn_kill(sys.agent[i].proc);
 		hn_kill(sys.agent[i].endpoint);
 	}
-	work.away = true;
-	sleep_until(RETURN_MS);
+	outage_work.away = true;
+	sleep_until(OUTAGE_END_MS);
 	for (i = 0; i < WORKERS; i += DOMAINS) {
 		hn_restart(sys.agent[i].proc);
 		hn_restart(sys.agent[i].endpoint);
 	}
 	for (i = 0; i < WORKERS; i += DOMAINS) {
-		hn_wait_until(sys_total(&sys, i) >= 0, LIMIT_MS);
+		hn_wait_until(sys_total(&sys, i) >= 0, JOBS_TIMEOUT_MS);
 		set_speed(i);
 	}
-	work.away = false;
+	outage_work.away = false;
 }
 
-/* Domain 0 leaves for some seconds while more work is offered than fits. */
+/*
+ * Makes domain 0 unavailable for 8 s under overload and reports the work done
+ * as a share of the remaining capacity.
+ */
 static void
-measure_change(const char *name, void (*leave)(void))
+measure_outage(const char *name, void (*take_out)(void))
 {
-	begin(CHANGE_LOAD, 20, CHANGE_END_MS / 1000.0);
-	memset(&work, 0, sizeof(work));
-	sleep_until(LEAVE_MS - 1000);
-	work.on = true;
-	g_timeout_add(SAMPLE_MS, on_sample, NULL);
-	sleep_until(LEAVE_MS - 500);
-	work.done = work.capacity = 0;
-	sleep_until(LEAVE_MS);
-	leave();
-	sleep_until(CHANGE_END_MS);
-	work.on = false;
-	figure("share", work.done / work.capacity, "system.%s.work_of_capacity",
-	    name);
-	hn_wait_until(run.timer == 0 && run.open == 0, LIMIT_MS);
-	figure("jobs", run.complete, "system.%s.complete", name);
-	figure("jobs", run.failed, "system.%s.failed", name);
-	end();
+	start_load(OUTAGE_LOAD, 20, OUTAGE_RUN_MS / 1000.0);
+	memset(&outage_work, 0, sizeof(outage_work));
+	sleep_until(OUTAGE_BEGIN_MS - 1000);
+	outage_work.on = true;
+	g_timeout_add(SAMPLE_INTERVAL_MS, on_sample, NULL);
+	sleep_until(OUTAGE_BEGIN_MS - 500);
+	outage_work.done = outage_work.capacity = 0;
+	sleep_until(OUTAGE_BEGIN_MS);
+	take_out();
+	sleep_until(OUTAGE_RUN_MS);
+	outage_work.on = false;
+	report("share", outage_work.done / outage_work.capacity,
+	    "system.%s.work_of_capacity", name);
+	hn_wait_until(run.timer == 0 && run.in_flight == 0, JOBS_TIMEOUT_MS);
+	report("jobs", run.complete, "system.%s.complete", name);
+	report("jobs", run.failed, "system.%s.failed", name);
+	finish_load();
 }
 
 static void
@@ -530,7 +550,10 @@
 	workload_free(load);
 	for (i = 0; i < DOMAINS; i++) {
 		sys_rule(&sys, sys.entry[i].far_listen, "action=delay&ms=3");
-		/* 1.5 ms each way; the proxy delays by whole milliseconds. */
+		/*
+		 * 3 ms a round trip, as 1.5 ms each way in the model: the
+		 * proxy delays by whole milliseconds.
+		 */
 		for (d = 0; d < DOMAINS; d++) {
 			if (d == i)
 				continue;
@@ -554,17 +577,22 @@
 
 	g_hash_table_iter_init(&iter, refusals);
 	while (g_hash_table_iter_next(&iter, &key, &value))
-		figure("jobs", GPOINTER_TO_INT(value), "system.refused.%s",
+		report("jobs", GPOINTER_TO_INT(value), "system.refused.%s",
 		    (char *)key);
-	figure("tasks", g_hash_table_size(starts), "system.started");
-	figure("tasks", violations.duplicates, "violations.duplicate_starts");
-	figure("jobs", violations.partial, "violations.partial_answers");
-	figure("results", violations.foreign, "violations.foreign_results");
-	figure("tasks", violations.ran_though_not_run,
+	report("tasks", g_hash_table_size(starts), "system.started");
+	report("tasks", violations.duplicate_starts,
+	    "violations.duplicate_starts");
+	report(
+	    "jobs", violations.partial_answers, "violations.partial_answers");
+	report("results", violations.foreign_results,
+	    "violations.foreign_results");
+	report("tasks", violations.not_run_that_ran,
 	    "violations.not_run_that_ran");
-	figure("starts", violations.after_out, "violations.starts_after_out");
-	return violations.duplicates + violations.partial + violations.foreign +
-	       violations.ran_though_not_run + violations.after_out;
+	report("starts", violations.starts_after_out,
+	    "violations.starts_after_out");
+	return violations.duplicate_starts + violations.partial_answers +
+	       violations.foreign_results + violations.not_run_that_ran +
+	       violations.starts_after_out;
 }
 
 static bool json, changes = true, mixed;
@@ -623,10 +651,12 @@
 	static const struct argp_option options[] = {
 	    {"json", 'j', NULL, 0, "print JSON", 0},
 	    {"seed", 's', "N", 0, "seed of the workload (1)", 0},
-	    {"duration", 'd', "SECONDS", 0, "of arrivals at each load (10)", 0},
+	    {"duration", 'd', "SECONDS", 0,
+		"time in which jobs arrive at each load (10)", 0},
 	    {"load", 'l', "PERCENT", 0, "only this load", 0},
 	    {"mixed", 'm', NULL, 0, "jobs of 1, 20 and 100 at once", 0},
-	    {"no-changes", 'n', NULL, 0, "leave out the leaving domain", 0},
+	    {"no-changes", 'n', NULL, 0,
+		"skip the runs in which a failure domain is out", 0},
 	    {0}};
 	static const struct argp argp = {options, parse_option, NULL,
 	    "Measures a system of real processes.", NULL, NULL, NULL};
@@ -634,19 +664,19 @@
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, NULL) != 0)
 		return EXIT_FAILURE;
-	figures_begin(json);
+	results_begin(json);
 	refusals = g_hash_table_new(g_str_hash, g_str_equal);
 	starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	not_run = g_ptr_array_new();
 	start_system();
 	measure_loads();
 	if (changes) {
-		measure_change("planned", leave_planned);
-		measure_change("killed", leave_killed);
+		measure_outage("planned", take_domain_out);
+		measure_outage("killed", kill_domain);
 	}
 	check_starts();
 	n = print_violations();
-	figures_end();
+	results_end();
 	hn_finish();
 	return n == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/bench/probe.c
+++ b/bench/probe.c
@@ -8,27 +8,25 @@
 
 #include "probe.h"
 
-#define MAX_CONNS     1000
-#define CALL_LIMIT_S  120
-#define STAT_UTIME    14 /* fields of /proc/<pid>/stat, from 1 */
-#define STAT_NAME_END 2
-#define US_PER_S      1000000.0
+#define MAX_CONNECTIONS 1000
+#define CALL_TIMEOUT_S	120
+#define STAT_UTIME	14 /* fields of /proc/<pid>/stat, from 1 */
+#define STAT_COMM	2
+#define US_PER_S	1000000.0
 
-static struct json_object *collected; /* NULL: print lines */
+static struct json_object *json_results; /* NULL: print lines */
 static SoupSession *session;
 
-/* Chooses lines or JSON. */
 void
-figures_begin(bool json)
+results_begin(bool json)
 {
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	if (json)
-		collected = json_object_new_array();
+		json_results = json_object_new_array();
 }
 
-/* Reports one figure. */
 void
-figure(const char *unit, double value, const char *name, ...)
+report(const char *unit, double value, const char *name, ...)
 {
 	struct json_object *item;
 	va_list ap;
@@ -37,7 +35,7 @@
 	va_start(ap, name);
 	text = g_strdup_vprintf(name, ap);
 	va_end(ap);
-	if (collected == NULL) {
+	if (json_results == NULL) {
 		printf("%s %.3f %s\n", text, value, unit);
 	} else {
 		item = json_object_new_object();
@@ -47,19 +45,18 @@
 		    item, "value", json_object_new_double(value));
 		json_object_object_add(
 		    item, "unit", json_object_new_string(unit));
-		json_object_array_add(collected, item);
+		json_object_array_add(json_results, item);
 	}
 	g_free(text);
 }
 
-/* Prints what was collected for JSON. */
 void
-figures_end(void)
+results_end(void)
 {
-	if (collected != NULL)
+	if (json_results != NULL)
 		printf("%s\n", json_object_to_json_string_ext(
-				   collected, JSON_C_TO_STRING_PRETTY));
-	g_clear_pointer(&collected, json_object_put);
+				   json_results, JSON_C_TO_STRING_PRETTY));
+	g_clear_pointer(&json_results, json_object_put);
 	g_clear_object(&session);
 }
 
@@ -71,23 +68,22 @@
 	return (x > y) - (x < y);
 }
 
-/* Reports the distribution of values, which it sorts. */
 void
-figure_spread(const char *name, const char *unit, GArray *doubles)
+report_distribution(const char *name, const char *unit, GArray *doubles)
 {
 	const double *v = (const double *)(void *)doubles->data;
 	guint i, n = doubles->len;
 	double sum = 0;
 
-	figure("count", n, "%s.n", name);
+	report("count", n, "%s.n", name);
 	if (n == 0)
 		return;
 	g_array_sort(doubles, compare_doubles);
 	for (i = 0; i < n; i++)
 		sum += v[i];
-	figure(unit, v[n / 2], "%s.median", name);
-	figure(unit, sum / n, "%s.mean", name);
-	figure(unit, v[MIN((guint)(0.99 * n), n - 1)], "%s.p99", name);
+	report(unit, v[n / 2], "%s.median", name);
+	report(unit, sum / n, "%s.mean", name);
+	report(unit, v[MIN((guint)(0.99 * n), n - 1)], "%s.p99", name);
 }
 
 static double
@@ -98,10 +94,10 @@
 	double ticks = 0;
 
 	if (g_file_get_contents(path, &text, NULL, NULL)) {
-		/* The name, in brackets, may contain blanks. */
+		/* The command name, in parentheses, may contain blanks. */
 		fields = g_strsplit(strrchr(text, ')') + 2, " ", -1);
-		ticks = atof(fields[STAT_UTIME - STAT_NAME_END - 1]) +
-			atof(fields[STAT_UTIME - STAT_NAME_END]);
+		ticks = atof(fields[STAT_UTIME - STAT_COMM - 1]) +
+			atof(fields[STAT_UTIME - STAT_COMM]);
 		g_strfreev(fields);
 	}
 	g_free(text);
@@ -126,9 +122,8 @@
 	return kb;
 }
 
-/* Returns a value of a text exposition. */
 double
-metric(const char *text, const char *name)
+metric_value(const char *text, const char *name)
 {
 	size_t len = strlen(name);
 	const char *line = text;
@@ -148,15 +143,14 @@
 	struct reading r = {.cpu_us = cpu_us(pid), .rss_kb = rss_kb(pid)};
 
 	r.at_s = (double)g_get_monotonic_time() / US_PER_S;
-	r.bytes_out = metric(text, "sp_rpc_bytes_out_total");
-	r.bytes = r.bytes_out + metric(text, "sp_rpc_bytes_in_total");
-	r.records_out = metric(text, "sp_rpc_records_out_total");
-	r.store_calls = metric(text, "sp_store_calls_total");
-	r.starts = metric(text, "sp_starts_total");
+	r.bytes_out = metric_value(text, "sp_rpc_bytes_out_total");
+	r.bytes = r.bytes_out + metric_value(text, "sp_rpc_bytes_in_total");
+	r.records_out = metric_value(text, "sp_rpc_records_out_total");
+	r.store_calls = metric_value(text, "sp_store_calls_total");
+	r.starts = metric_value(text, "sp_starts_total");
 	return r;
 }
 
-/* Reads an entry process. */
 struct reading
 read_entry(struct sys *sys, int entry)
 {
@@ -164,7 +158,6 @@
 	    hn_http("GET", sys_url(sys, entry, "/metrics"), NULL)->body);
 }
 
-/* Returns the counters of an agent as text. */
 const char *
 agent_metrics(struct sys *sys, int agent)
 {
@@ -174,7 +167,6 @@
 	    ->body;
 }
 
-/* Reads an agent process. */
 struct reading
 read_agent(struct sys *sys, int agent)
 {
@@ -182,7 +174,6 @@
 	    hn_pid(sys->agent[agent].proc), agent_metrics(sys, agent));
 }
 
-/* Returns what was used between two readings. */
 struct reading
 reading_since(struct reading before, struct reading after)
 {
@@ -196,7 +187,7 @@
 	return after;
 }
 
-struct exchange {
+struct pending_call {
 	struct call public;
 	SoupMessage *msg;
 	call_fn on_done;
@@ -206,7 +197,7 @@
 static void
 on_answer(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct exchange *ex = data;
+	struct pending_call *ex = data;
 	GBytes *bytes = soup_session_send_and_read_finish(
 	    SOUP_SESSION(source), result, NULL);
 
@@ -223,18 +214,18 @@
 		ex->on_done(&ex->public, ex->ctx);
 }
 
-/* Sends a request on a kept connection. */
 struct call *
 call_send(const char *method, const char *url, const char *body,
     call_fn on_done, void *ctx)
 {
-	struct exchange *ex = g_new0(struct exchange, 1);
+	struct pending_call *ex = g_new0(struct pending_call, 1);
 	GBytes *bytes;
 
 	if (session == NULL)
-		session = soup_session_new_with_options("timeout", CALL_LIMIT_S,
-		    "max-conns", MAX_CONNS, "max-conns-per-host", MAX_CONNS,
-		    "proxy-resolver", NULL, NULL);
+		session =
+		    soup_session_new_with_options("timeout", CALL_TIMEOUT_S,
+			"max-conns", MAX_CONNECTIONS, "max-conns-per-host",
+			MAX_CONNECTIONS, "proxy-resolver", NULL, NULL);
 	ex->msg = soup_message_new(method, url);
 	ex->on_done = on_done;
 	ex->ctx = ctx;
@@ -254,7 +245,6 @@
 	return &ex->public;
 }
 
-/* Frees a call that is done. */
 void
 call_free(struct call *call)
 {
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -4,30 +4,30 @@
 
 #include "replay.h"
 
-#define MAX_ENTRIES	3
-#define HEARTBEAT_US	500000
-#define WARM_UP		0.1 /* share of jobs that no figure counts */
-#define SAMPLE_US	1000000
-#define COLD_TASKS	50.0 /* until a returned worker has its full speed */
-#define AFTER_RETURN_US 10000000
-#define NO_TASK		UINT32_MAX
+#define MAX_ENTRIES	   3
+#define HEARTBEAT_US	   500000
+#define WARM_UP_SHARE	   0.1 /* share of jobs excluded from the results */
+#define SAMPLE_INTERVAL_US 1000000
+#define COLD_TASKS	   50.0 /* until a returned worker has full speed */
+#define RETURN_WINDOW_US   10000000
+#define NO_TASK		   UINT32_MAX
 
 enum event_kind {
-	JOB_ARRIVES,   /* at the entry; index: job */
-	START_ARRIVES, /* at the agent; index: task */
-	RUN_ENDS,      /* index: task */
-	REPORT_ARRIVES,
-	HEARTBEAT, /* index: worker */
+	JOB_ARRIVES,	/* at the entry; index is the job */
+	START_ARRIVES,	/* at the agent; index is the task */
+	RUN_ENDS,	/* index is the task */
+	REPORT_ARRIVES, /* index is the finished task or NO_TASK */
+	HEARTBEAT,	/* index is the worker */
 	SAMPLE,
 	DOMAIN_LEAVES,
 	DOMAIN_RETURNS
 };
 
-/* Load of an agent as one message carries it. */
+/* Load of an agent, as sent to one entry. */
 struct report {
 	uint32_t busy;
 	uint32_t queued;
-	uint32_t received; /* starts from the addressed entry */
+	uint32_t received; /* starts received from that entry so far */
 };
 
 struct event {
@@ -51,11 +51,11 @@
 	int64_t run_us;
 };
 
-struct progress {
+struct job_state {
 	uint32_t done;
 	uint32_t started;
-	uint32_t in_domain[DOMAINS]; /* dispatched and not answered */
-	int64_t answered_us;	     /* at the client */
+	uint32_t unanswered_in[DOMAINS]; /* dispatched and not answered */
+	int64_t answered_us;		 /* at the client */
 	int64_t free_ideal_us;
 };
 
@@ -63,7 +63,7 @@
 	uint32_t busy;
 	GQueue queue;
 	uint32_t received[MAX_ENTRIES];
-	double done_cold; /* tasks since the return */
+	double done_cold; /* tasks finished since the return */
 	bool cold;
 	bool away;
 };
@@ -83,34 +83,34 @@
 	uint64_t next_order;
 	int64_t now_us;
 	struct run *runs;
-	struct progress *jobs;
+	struct job_state *jobs;
 	struct agent agents[WORKERS];
 	struct entry entries[MAX_ENTRIES];
 	uint32_t jobs_done;
-	uint32_t oldest; /* job in flight */
-	uint32_t newest;
+	uint32_t first_unanswered;
+	uint32_t n_arrived;
 	double agent_wait_us;
 	double samples_in_flight;
 	double samples_lost;
 	double started_in_flight;
 	double started_lost;
-	GArray *returns; /* int64_t */
+	GArray *returns; /* int64_t: when domain 0 came back */
 };
 
 static struct event *
-at(const struct sim *s, guint i)
+event_at(const struct sim *s, guint i)
 {
 	return &g_array_index(s->heap, struct event, i);
 }
 
 static bool
-before(const struct event *a, const struct event *b)
+event_before(const struct event *a, const struct event *b)
 {
 	return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
 static void
-swap(struct event *a, struct event *b)
+swap_events(struct event *a, struct event *b)
 {
 	struct event copy = *a;
 
@@ -119,15 +119,16 @@
 }
 
 static void
-post(struct sim *s, int64_t delay_us, struct event ev)
+schedule(struct sim *s, int64_t delay_us, struct event ev)
 {
 	guint i = s->heap->len;
 
 	ev.at_us = s->now_us + delay_us;
 	ev.order = s->next_order++;
 	g_array_append_val(s->heap, ev);
-	while (i > 0 && before(at(s, i), at(s, (i - 1) / 2))) {
-		swap(at(s, i), at(s, (i - 1) / 2));
+	while (
+	    i > 0 && event_before(event_at(s, i), event_at(s, (i - 1) / 2))) {
+		swap_events(event_at(s, i), event_at(s, (i - 1) / 2));
 		i = (i - 1) / 2;
 	}
 }
@@ -135,20 +136,21 @@
 static struct event
 next_event(struct sim *s)
 {
-	struct event top = *at(s, 0);
+	struct event top = *event_at(s, 0);
 	guint n = s->heap->len - 1;
 	guint i = 0;
 
-	*at(s, 0) = *at(s, n);
+	*event_at(s, 0) = *event_at(s, n);
 	g_array_set_size(s->heap, n);
 	while (2 * i + 1 < n) {
 		guint child = 2 * i + 1;
 
-		if (child + 1 < n && before(at(s, child + 1), at(s, child)))
+		if (child + 1 < n &&
+		    event_before(event_at(s, child + 1), event_at(s, child)))
 			child++;
-		if (!before(at(s, child), at(s, i)))
+		if (!event_before(event_at(s, child), event_at(s, i)))
 			break;
-		swap(at(s, i), at(s, child));
+		swap_events(event_at(s, i), event_at(s, child));
 		i = child;
 	}
 	return top;
@@ -178,8 +180,8 @@
 	return s->load->jobs[s->load->tasks[task].job].entry;
 }
 
-static struct progress *
-progress_of(struct sim *s, uint32_t task)
+static struct job_state *
+job_of(struct sim *s, uint32_t task)
 {
 	return &s->jobs[s->load->tasks[task].job];
 }
@@ -207,22 +209,22 @@
 	r->worker = w;
 	r->place_id = id;
 	e->sent[w]++;
-	progress_of(s, task)->in_domain[worker_domain(w)]++;
+	job_of(s, task)->unanswered_in[worker_domain(w)]++;
 	g_queue_push_tail(&e->outstanding[w], GUINT_TO_POINTER(task));
-	post(s, latency_us(entry, w),
+	schedule(s, latency_us(entry, w),
 	    (struct event){.kind = START_ARRIVES, .index = task, .worker = w});
 }
 
 static void
-pump(struct sim *s, uint32_t entry)
+dispatch_waiting(struct sim *s, uint32_t entry)
 {
 	struct entry *e = &s->entries[entry];
 	GList *l = e->waiting.head;
-	guint passed = 0;
+	guint skipped = 0;
 
 	if (!s->opts.head_only)
 		place_begin_pass(e->place, now_ms(s));
-	while (l != NULL && passed < PLACE_PASS_MAX_SKIPPED &&
+	while (l != NULL && skipped < PLACE_PASS_MAX_SKIPPED &&
 	       place_has_capacity(e->place, "s")) {
 		uint32_t task = GPOINTER_TO_UINT(l->data);
 		struct place_task t = place_task(s, task);
@@ -232,7 +234,7 @@
 		if (id == PLACE_NONE) {
 			if (s->opts.head_only)
 				break;
-			passed++;
+			skipped++;
 		} else {
 			g_queue_delete_link(&e->waiting, l);
 			dispatch(s, e, id, task);
@@ -253,7 +255,7 @@
 }
 
 static void
-take_report(
+apply_report(
     struct sim *s, uint32_t entry, uint32_t w, const struct report *report)
 {
 	struct entry *e = &s->entries[entry];
@@ -264,11 +266,11 @@
 	    now_ms(s));
 }
 
-/* Sends the load, and the outcome of a task when there is one. */
+/* Sends the worker's load with the outcome of a task, unless NO_TASK. */
 static void
 send_report(struct sim *s, uint32_t worker, uint32_t entry, uint32_t task)
 {
-	post(s, latency_us(entry, worker),
+	schedule(s, latency_us(entry, worker),
 	    (struct event){.kind = REPORT_ARRIVES,
 		.index = task,
 		.entry = entry,
@@ -277,21 +279,21 @@
 }
 
 static void
-tell_all(struct sim *s, uint32_t worker)
+report_at_once(struct sim *s, uint32_t worker)
 {
 	uint32_t e;
 
 	for (e = 0; s->opts.instant && e < s->opts.entries; e++) {
 		struct report report = report_of(s, worker, e);
 
-		take_report(s, e, worker, &report);
+		apply_report(s, e, worker, &report);
 	}
 	for (e = 0; s->opts.instant && e < s->opts.entries; e++)
-		pump(s, e);
+		dispatch_waiting(s, e);
 }
 
 static double
-warmth(const struct sim *s, const struct agent *a)
+speed_factor(const struct sim *s, const struct agent *a)
 {
 	double done = MIN(a->done_cold / COLD_TASKS, 1);
 
@@ -311,10 +313,10 @@
 		r->state = RUNNING;
 		r->run_us =
 		    (int64_t)((double)run_time_us(s->load, task, worker) /
-			      warmth(s, a));
+			      speed_factor(s, a));
 		s->agent_wait_us += (double)(s->now_us - r->arrived_us);
-		progress_of(s, task)->started++;
-		post(s, r->run_us,
+		job_of(s, task)->started++;
+		schedule(s, r->run_us,
 		    (struct event){
 			.kind = RUN_ENDS, .index = task, .worker = worker});
 	}
@@ -331,7 +333,7 @@
 	a->received[entry_of(s, ev->index)]++;
 	g_queue_push_tail(&a->queue, GUINT_TO_POINTER(ev->index));
 	run_next(s, ev->worker);
-	tell_all(s, ev->worker);
+	report_at_once(s, ev->worker);
 }
 
 static void
@@ -343,7 +345,7 @@
 	a->done_cold++;
 	run_next(s, ev->worker);
 	send_report(s, ev->worker, entry_of(s, ev->index), ev->index);
-	tell_all(s, ev->worker);
+	report_at_once(s, ev->worker);
 }
 
 static void
@@ -351,25 +353,25 @@
 {
 	s->jobs[job].answered_us = s->now_us + CLIENT_US;
 	s->jobs_done++;
-	while (
-	    s->oldest < s->load->n_jobs && s->jobs[s->oldest].answered_us > 0)
-		s->oldest++;
+	while (s->first_unanswered < s->load->n_jobs &&
+	       s->jobs[s->first_unanswered].answered_us > 0)
+		s->first_unanswered++;
 }
 
 static void
-take_outcome(struct sim *s, const struct event *ev)
+apply_outcome(struct sim *s, const struct event *ev)
 {
 	struct entry *e = &s->entries[ev->entry];
 	struct run *r = &s->runs[ev->index];
 	struct place_task t = place_task(s, ev->index);
-	struct progress *p = progress_of(s, ev->index);
+	struct job_state *p = job_of(s, ev->index);
 	uint32_t job = s->load->tasks[ev->index].job;
 
 	place_finished(
 	    e->place, r->place_id, &t, PLACE_OK, r->run_us, now_ms(s));
 	g_queue_remove(
 	    &e->outstanding[ev->worker], GUINT_TO_POINTER(ev->index));
-	p->in_domain[worker_domain(ev->worker)]--;
+	p->unanswered_in[worker_domain(ev->worker)]--;
 	r->state = DONE;
 	if (++p->done == s->load->jobs[job].n)
 		finish_job(s, job);
@@ -379,10 +381,10 @@
 on_report(struct sim *s, const struct event *ev)
 {
 	if (ev->index != NO_TASK)
-		take_outcome(s, ev);
+		apply_outcome(s, ev);
 	if (!s->opts.instant)
-		take_report(s, ev->entry, ev->worker, &ev->report);
-	pump(s, ev->entry);
+		apply_report(s, ev->entry, ev->worker, &ev->report);
+	dispatch_waiting(s, ev->entry);
 }
 
 static void
@@ -392,11 +394,15 @@
 
 	for (e = 0; e < s->opts.entries && !s->agents[ev->index].away; e++)
 		send_report(s, ev->index, e, NO_TASK);
-	post(s, s->opts.heartbeat_us > 0 ? s->opts.heartbeat_us : HEARTBEAT_US,
+	schedule(s,
+	    s->opts.heartbeat_us > 0 ? s->opts.heartbeat_us : HEARTBEAT_US,
 	    *ev);
 }
 
-/* 0 when no worker is free. */
+/*
+ * Returns the response time of the job's first task on the fastest worker with
+ * a free slot; 0 when no slot is free.
+ */
 static int64_t
 free_ideal_us(const struct sim *s, uint32_t job)
 {
@@ -414,7 +420,10 @@
 	return best_us == INT64_MAX ? 0 : best_us;
 }
 
-/* Queues the tasks of a job, the one expected to run longest first. */
+/*
+ * Queues the tasks of a job behind those of earlier jobs, with longest_first
+ * in falling order of the expected run time.
+ */
 static void
 enqueue(struct sim *s, struct entry *e, const struct job *j)
 {
@@ -441,35 +450,39 @@
 {
 	const struct job *j = &s->load->jobs[ev->index];
 
-	s->newest = ev->index + 1;
+	s->n_arrived = ev->index + 1;
 	s->jobs[ev->index].free_ideal_us = free_ideal_us(s, ev->index);
 	enqueue(s, &s->entries[j->entry], j);
-	pump(s, j->entry);
-	if (s->newest < s->load->n_jobs)
-		post(s,
-		    s->load->jobs[s->newest].sent_us + CLIENT_US - s->now_us,
-		    (struct event){.kind = JOB_ARRIVES, .index = s->newest});
-}
-
-/* Counts what the end of each domain would take with it now. */
+	dispatch_waiting(s, j->entry);
+	if (s->n_arrived < s->load->n_jobs)
+		schedule(s,
+		    s->load->jobs[s->n_arrived].sent_us + CLIENT_US - s->now_us,
+		    (struct event){.kind = JOB_ARRIVES, .index = s->n_arrived});
+}
+
+/*
+ * Counts the jobs in flight and their started tasks, once for each failure
+ * domain, and those that would be lost if the domain failed now: the job's
+ * entry or an unanswered task of the job is in the domain.
+ */
 static void
 on_sample(struct sim *s, const struct event *ev)
 {
 	uint32_t i;
 	uint32_t d;
 
-	post(s, SAMPLE_US, *ev);
-	if (s->newest < (uint32_t)(WARM_UP * s->load->n_jobs) ||
-	    s->newest == s->load->n_jobs)
+	schedule(s, SAMPLE_INTERVAL_US, *ev);
+	if (s->n_arrived < (uint32_t)(WARM_UP_SHARE * s->load->n_jobs) ||
+	    s->n_arrived == s->load->n_jobs)
 		return;
-	for (i = s->oldest; i < s->newest; i++) {
-		const struct progress *p = &s->jobs[i];
+	for (i = s->first_unanswered; i < s->n_arrived; i++) {
+		const struct job_state *p = &s->jobs[i];
 
 		if (p->answered_us > 0)
 			continue;
 		for (d = 0; d < DOMAINS; d++) {
 			bool lost = s->load->jobs[i].entry % DOMAINS == d ||
-				    p->in_domain[d] > 0;
+				    p->unanswered_in[d] > 0;
 
 			s->samples_in_flight++;
 			s->samples_lost += lost ? 1 : 0;
@@ -492,9 +505,12 @@
 	e->id[w] = place_add(e->place, &pw, now_ms(s));
 }
 
-/* Domain 0 leaves as planned: its running tasks end, it gets no new ones. */
+/*
+ * Drains domain 0, whose running tasks finish but which gets no new ones, or
+ * brings it back with the speed history of its workers lost.
+ */
 static void
-on_domain(struct sim *s, const struct event *ev)
+on_domain_change(struct sim *s, const struct event *ev)
 {
 	bool leaves = ev->kind == DOMAIN_LEAVES;
 	uint32_t w;
@@ -514,18 +530,18 @@
 			}
 			place_remove(s->entries[e].place, s->entries[e].id[w]);
 			add_worker(s, e, w);
-			take_report(s, e, w, &report);
+			apply_report(s, e, w, &report);
 		}
 	}
 	if (!leaves)
 		g_array_append_val(s->returns, s->now_us);
-	post(s, s->opts.period_us, *ev);
+	schedule(s, s->opts.period_us, *ev);
 	for (e = 0; e < s->opts.entries; e++)
-		pump(s, e);
+		dispatch_waiting(s, e);
 }
 
 static void
-handle(struct sim *s, const struct event *ev)
+handle_event(struct sim *s, const struct event *ev)
 {
 	switch (ev->kind) {
 	case JOB_ARRIVES:
@@ -548,13 +564,13 @@
 		break;
 	case DOMAIN_LEAVES:
 	case DOMAIN_RETURNS:
-		on_domain(s, ev);
+		on_domain_change(s, ev);
 		break;
 	}
 }
 
 static void
-start(struct sim *s)
+sim_start(struct sim *s)
 {
 	static const char *const domains[] = {"0", "1", "2"};
 	uint32_t e;
@@ -572,21 +588,21 @@
 			add_worker(s, e, w);
 	}
 	for (w = 0; w < WORKERS; w++)
-		post(s, (int64_t)w * HEARTBEAT_US / WORKERS,
+		schedule(s, (int64_t)w * HEARTBEAT_US / WORKERS,
 		    (struct event){.kind = HEARTBEAT, .index = w});
-	post(s, s->load->jobs[0].sent_us + CLIENT_US,
+	schedule(s, s->load->jobs[0].sent_us + CLIENT_US,
 	    (struct event){.kind = JOB_ARRIVES});
-	post(s, SAMPLE_US, (struct event){.kind = SAMPLE});
+	schedule(s, SAMPLE_INTERVAL_US, (struct event){.kind = SAMPLE});
 	if (s->opts.period_us > 0) {
-		post(s, s->opts.period_us,
+		schedule(s, s->opts.period_us,
 		    (struct event){.kind = DOMAIN_LEAVES});
-		post(s, s->opts.period_us + s->opts.away_us,
+		schedule(s, s->opts.period_us + s->opts.away_us,
 		    (struct event){.kind = DOMAIN_RETURNS});
 	}
 }
 
 static void
-stop(struct sim *s)
+sim_clear(struct sim *s)
 {
 	uint32_t e;
 	uint32_t w;
@@ -636,7 +652,7 @@
 		int64_t since_us =
 		    sent_us - g_array_index(s->returns, int64_t, i);
 
-		if (since_us >= 0 && since_us < AFTER_RETURN_US)
+		if (since_us >= 0 && since_us < RETURN_WINDOW_US)
 			return true;
 	}
 	return false;
@@ -648,12 +664,12 @@
 	struct replay_result res = {0};
 	GArray *ratios = g_array_new(FALSE, FALSE, sizeof(double));
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(double));
-	GArray *frees = g_array_new(FALSE, FALSE, sizeof(double));
-	GArray *returned = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *free_ratios = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *return_times = g_array_new(FALSE, FALSE, sizeof(double));
 	uint32_t i;
 
-	for (i = (uint32_t)(WARM_UP * s->load->n_jobs); i < s->load->n_jobs;
-	     i++) {
+	for (i = (uint32_t)(WARM_UP_SHARE * s->load->n_jobs);
+	     i < s->load->n_jobs; i++) {
 		const struct job *j = &s->load->jobs[i];
 		double us = (double)(s->jobs[i].answered_us - j->sent_us);
 		double ms = us / 1000;
@@ -664,21 +680,20 @@
 		g_array_append_val(times, ms);
 		g_array_append_val(ratios, ratio);
 		if (j->n == 1 && free_us > 0)
-			g_array_append_val(frees, free_ratio);
+			g_array_append_val(free_ratios, free_ratio);
 		if (sent_after_return(s, j->sent_us))
-			g_array_append_val(returned, ms);
+			g_array_append_val(return_times, ms);
 	}
 	mean_p99(ratios, &res.mean_ratio, &res.p99_ratio);
 	mean_p99(times, &res.mean_ms, &res.p99_ms);
-	mean_p99(frees, &res.free_mean_ratio, &res.free_p99_ratio);
-	mean_p99(returned, &res.return_mean_ms, &res.return_p99_ms);
+	mean_p99(free_ratios, &res.free_mean_ratio, &res.free_p99_ratio);
+	mean_p99(return_times, &res.return_mean_ms, &res.return_p99_ms);
 	res.agent_wait_ms = s->agent_wait_us / 1000 / s->load->n_tasks;
 	res.lost_jobs = s->samples_lost / MAX(s->samples_in_flight, 1);
 	res.lost_work = s->started_lost / MAX(s->started_in_flight, 1);
 	return res;
 }
 
-/* Replays the arrivals until every job is answered. */
 struct replay_result
 replay_run(const struct workload *load, const struct replay_options *opts)
 {
@@ -688,15 +703,15 @@
 	s.heap = g_array_new(FALSE, FALSE, sizeof(struct event));
 	s.returns = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	s.runs = g_new0(struct run, load->n_tasks);
-	s.jobs = g_new0(struct progress, load->n_jobs);
-	start(&s);
+	s.jobs = g_new0(struct job_state, load->n_jobs);
+	sim_start(&s);
 	while (s.jobs_done < load->n_jobs) {
 		struct event ev = next_event(&s);
 
 		s.now_us = ev.at_us;
-		handle(&s, &ev);
+		handle_event(&s, &ev);
 	}
 	result = summarize(&s);
-	stop(&s);
+	sim_clear(&s);
 	return result;
 }
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -7,38 +7,47 @@
 #include "request/place.h"
 #include "workload.h"
 
-/* How one replay places the tasks of a workload. */
+/* Discrete-event simulation of a workload under one placement policy. */
 struct replay_options {
 	enum place_policy policy;
-	uint32_t ahead;
+	uint32_t ahead; /* tasks sent beyond a worker's slots */
 	uint32_t entries;
 	bool prefer_local;
-	bool head_only;	      /* no task passes one that waits */
-	bool longest_first;   /* order of the tasks of a job in the queue */
-	bool instant;	      /* every entry sees every load at once */
-	int64_t heartbeat_us; /* 0: 500 ms */
-	/* Each period_us, failure domain 0 is away for away_us; 0: never. */
+	bool head_only;	      /* a task that must wait blocks those behind it */
+	bool longest_first;   /* queue a job's longest tasks first */
+	bool instant;	      /* load reports reach all entries without delay */
+	int64_t heartbeat_us; /* interval; 0: 500 ms */
+	/* Every period_us, failure domain 0 is out for away_us; 0: never. */
 	int64_t period_us;
 	int64_t away_us;
-	double cold; /* speed of a returned worker at first; 0: as before */
+	double cold; /* speed factor of a worker just returned; 0: 1 */
 	uint64_t seed;
 };
 
 struct replay_result {
-	double mean_ratio; /* response over ideal, a job at a time */
+	double mean_ratio; /* response time of a job over its ideal time */
 	double p99_ratio;
 	double mean_ms;
 	double p99_ms;
-	/* To the fastest worker with a free slot on arrival, if there is one. */
+	/*
+	 * Jobs of one task only: response time over that on the fastest worker
+	 * that had a free slot on arrival; jobs that found none do not count.
+	 */
 	double free_mean_ratio;
 	double free_p99_ratio;
 	double agent_wait_ms; /* mean wait in the agent's queue */
-	double lost_jobs; /* share of jobs in flight that a domain's end ends */
-	double lost_work; /* share of the run time already spent, likewise */
-	double return_mean_ms; /* of jobs sent in the 10 s after a return */
+	/*
+	 * Shares of the jobs in flight, and of their started tasks, that would
+	 * be lost if one failure domain failed; means over domains and time.
+	 */
+	double lost_jobs;
+	double lost_work;
+	/* Response times of jobs sent up to 10 s after domain 0 came back. */
+	double return_mean_ms;
 	double return_p99_ms;
 };
 
+/* Runs until every job is answered. */
 struct replay_result replay_run(
     const struct workload *load, const struct replay_options *opts);
 
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -5,19 +5,19 @@
 
 #include "workload.h"
 
-#define SPEED_SPREAD   4.0 /* fastest over slowest worker */
-#define SHORTEST_US    50000.0
-#define LONGEST_US     1000000.0
-#define TAIL_SHARE     0.03
-#define TAIL_FROM_US   2000000.0
-#define TAIL_TO_US     6000000.0
-#define DECLARED_ERROR 10.0
-/* A tenth of the time arrivals come at 2.5 times the mean rate. */
-#define BURST_SHARE	0.1
-#define BURST_RATE	2.5
-#define BURST_LENGTH_US 500000.0
-
-/* xorshift64*; returns a number in [0, 1). */
+#define SPEED_RATIO	      4.0 /* fastest over slowest worker */
+#define WORK_MIN_US	      50000.0
+#define WORK_MAX_US	      1000000.0
+#define TAIL_SHARE	      0.03
+#define TAIL_MIN_US	      2000000.0
+#define TAIL_MAX_US	      6000000.0
+#define DECLARED_ERROR_FACTOR 10.0
+/* For a tenth of the time jobs arrive at 2.5 times the mean rate. */
+#define BURST_SHARE	  0.1
+#define BURST_RATE_FACTOR 2.5
+#define BURST_LENGTH_US	  500000.0
+
+/* Returns a number in [0, 1) from the generator xorshift64*. */
 double
 rng_uniform(uint64_t *state)
 {
@@ -46,7 +46,10 @@
 	return llround((double)load->tasks[task].work_us / load->speed[worker]);
 }
 
-/* Work, in seconds at speed 1, that all workers do in a second. */
+/*
+ * Returns the work, in seconds at speed 1, that all workers together do in a
+ * second.
+ */
 double
 workload_capacity(const struct workload *load)
 {
@@ -67,12 +70,12 @@
 static double
 mean_work_us(void)
 {
-	return (1 - TAIL_SHARE) * (LONGEST_US - SHORTEST_US) /
-		   log(LONGEST_US / SHORTEST_US) +
-	       TAIL_SHARE * (TAIL_FROM_US + TAIL_TO_US) / 2;
+	return (1 - TAIL_SHARE) * (WORK_MAX_US - WORK_MIN_US) /
+		   log(WORK_MAX_US / WORK_MIN_US) +
+	       TAIL_SHARE * (TAIL_MIN_US + TAIL_MAX_US) / 2;
 }
 
-/* Speeds are spread evenly on a log scale and dealt out at random. */
+/* Spaces the speeds evenly on a log scale and shuffles them. */
 static void
 make_speeds(struct workload *load, uint64_t *rng)
 {
@@ -80,7 +83,7 @@
 
 	for (i = 0; i < WORKERS; i++)
 		load->speed[i] =
-		    pow(SPEED_SPREAD, (double)i / (WORKERS - 1) - 0.5);
+		    pow(SPEED_RATIO, (double)i / (WORKERS - 1) - 0.5);
 	for (i = WORKERS - 1; i > 0; i--) {
 		guint j = (guint)(rng_uniform(rng) * (i + 1));
 		double swap = load->speed[i];
@@ -97,12 +100,11 @@
 
 	for (i = 0; i < load->n_tasks; i++) {
 		struct task *t = &load->tasks[i];
-		double work_us = log_uniform(rng, SHORTEST_US, LONGEST_US);
+		double work_us = log_uniform(rng, WORK_MIN_US, WORK_MAX_US);
 
 		if (rng_uniform(rng) < TAIL_SHARE)
-			work_us =
-			    TAIL_FROM_US +
-			    rng_uniform(rng) * (TAIL_TO_US - TAIL_FROM_US);
+			work_us = TAIL_MIN_US + rng_uniform(rng) *
+						    (TAIL_MAX_US - TAIL_MIN_US);
 		t->work_us = llround(work_us);
 		t->declared_us =
 		    llround(work_us * log_uniform(rng, 1 / error, error));
@@ -126,16 +128,17 @@
 	return -log(1 - rng_uniform(rng)) * mean;
 }
 
-/* Poisson arrivals whose rate switches between bursts and the rest. */
+/* Poisson arrivals whose rate alternates between bursts and a lower rate. */
 static void
 make_jobs(
     struct workload *load, const struct workload_options *opts, uint64_t *rng)
 {
 	double gap_us = mean_work_us() / workload_capacity(load) / opts->load;
-	double calm = (1 - BURST_SHARE * BURST_RATE) / (1 - BURST_SHARE);
-	double calm_us = BURST_LENGTH_US * (1 - BURST_SHARE) / BURST_SHARE;
+	double base_rate =
+	    (1 - BURST_SHARE * BURST_RATE_FACTOR) / (1 - BURST_SHARE);
+	double base_mean_us = BURST_LENGTH_US * (1 - BURST_SHARE) / BURST_SHARE;
 	double now_us = 0;
-	double switch_us = exponential(rng, calm_us);
+	double switch_us = exponential(rng, base_mean_us);
 	bool burst = false;
 	uint32_t first = 0;
 
@@ -144,16 +147,16 @@
 		uint32_t k;
 
 		j->first = first;
-		/* MIN would draw the size twice. */
+		/* Not within MIN, which would draw the size twice. */
 		j->n = job_size(opts, rng);
 		j->n = MIN(j->n, load->n_tasks - first);
 		j->entry = (uint32_t)(rng_uniform(rng) * opts->entries);
-		now_us += exponential(
-		    rng, gap_us * j->n / (burst ? BURST_RATE : calm));
+		now_us += exponential(rng,
+		    gap_us * j->n / (burst ? BURST_RATE_FACTOR : base_rate));
 		while (now_us > switch_us) {
 			burst = !burst;
-			switch_us +=
-			    exponential(rng, burst ? BURST_LENGTH_US : calm_us);
+			switch_us += exponential(
+			    rng, burst ? BURST_LENGTH_US : base_mean_us);
 		}
 		j->sent_us = llround(now_us);
 		for (k = 0; k < j->n; k++)
@@ -173,9 +176,12 @@
 	return (x < y) - (x > y);
 }
 
-/* Puts the task where it ends first; returns when its result is back. */
+/*
+ * Assigns the task to the slot whose result reaches the entry first; returns
+ * that time.
+ */
 static int64_t
-place_ideal(const struct workload *load, int64_t free_us[][SLOTS],
+assign_ideal_slot(const struct workload *load, int64_t free_us[][SLOTS],
     uint32_t task, uint32_t entry, int64_t at_entry_us)
 {
 	int64_t best_us = INT64_MAX;
@@ -204,12 +210,13 @@
 }
 
 /*
- * A central scheduler that knows every run time, speed and end: jobs in the
- * order of arrival, the longest task of a job first, each to the slot where
- * its result is back first.
+ * Computes the response time of each job under a central scheduler that knows
+ * all run times and speeds and when each slot becomes free.  It takes jobs in
+ * the order of arrival and the longest task of a job first, and assigns each
+ * task to the slot whose result reaches the entry first.
  */
 static void
-make_ideal(struct workload *load)
+compute_ideal_times(struct workload *load)
 {
 	int64_t free_us[WORKERS][SLOTS] = {{0}};
 	uint32_t *order = g_new(uint32_t, load->n_tasks);
@@ -226,7 +233,7 @@
 		qsort_r(
 		    order + j->first, j->n, sizeof(*order), compare_work, load);
 		for (k = 0; k < j->n; k++) {
-			int64_t task_us = place_ideal(load, free_us,
+			int64_t task_us = assign_ideal_slot(load, free_us,
 			    order[j->first + k], j->entry, at_entry_us);
 
 			end_us = MAX(end_us, task_us);
@@ -247,10 +254,11 @@
 	load->jobs = g_new0(struct job, opts->n_tasks);
 	make_speeds(load, &rng);
 	make_tasks(load,
-	    opts->declared_error > 0 ? opts->declared_error : DECLARED_ERROR,
+	    opts->declared_error > 0 ? opts->declared_error
+				     : DECLARED_ERROR_FACTOR,
 	    &rng);
 	make_jobs(load, opts, &rng);
-	make_ideal(load);
+	compute_ideal_times(load);
 	return load;
 }
 
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -3,7 +3,7 @@
 
 #include <stdint.h>
 
-/* Workers and arrivals of one replay; the same seed gives the same ones. */
+/* Generated workers, jobs and tasks; equal seeds give equal workloads. */
 
 #define DOMAINS	  3
 #define WORKERS	  10
@@ -15,14 +15,14 @@
 struct task {
 	uint32_t job;
 	int64_t work_us;     /* run time at speed 1 */
-	int64_t declared_us; /* off by up to declared_error */
+	int64_t declared_us; /* estimate, wrong by up to declared_error */
 };
 
 struct job {
 	int64_t sent_us;  /* by the client */
-	int64_t ideal_us; /* response time under the central scheduler */
+	int64_t ideal_us; /* response time under an ideal central scheduler */
 	uint32_t entry;
-	uint32_t first; /* task */
+	uint32_t first; /* index of the job's first task */
 	uint32_t n;
 };
 
@@ -36,11 +36,11 @@
 
 struct workload_options {
 	uint64_t seed;
-	double load;	   /* of the capacity of all workers */
+	double load; /* offered work as a share of all workers' capacity */
 	uint32_t job_size; /* tasks; 0: a mix of 1, 20 and 100 */
 	uint32_t n_tasks;
 	uint32_t entries;
-	double declared_error; /* largest factor; 0: 10 */
+	double declared_error; /* largest factor of wrong estimates; 0: 10 */
 };
 
 double rng_uniform(uint64_t *state);
@@ -50,7 +50,7 @@
     const struct workload *load, uint32_t task, uint32_t worker);
 double workload_capacity(const struct workload *load);
 
-/* Also fills in the ideal of every job. */
+/* Also computes the ideal response time of every job. */
 struct workload *workload_new(const struct workload_options *opts);
 void workload_free(struct workload *load);
 
