--- a/tests/demo.c
+++ b/tests/demo.c
@@ -1,5 +1,5 @@
 /*
- * Runs one job of 100 tasks through a small system of real processes and
+ * Starts a small system of real processes, runs one job of 100 tasks on it and
  * prints a summary of the answer.  Called by tools/demo.
  */
 #include <stdio.h>
@@ -7,8 +7,8 @@
 
 #include "system.h"
 
-#define N_TASKS	 100
-#define LIMIT_MS 45000
+#define N_TASKS		100
+#define DEMO_TIMEOUT_MS 45000
 
 static int
 fail(const char *what, const struct hn_http *http)
@@ -19,14 +19,14 @@
 }
 
 static bool
-apply_text(struct sys *sys)
+apply_configuration(struct sys *sys)
 {
 	struct hn_proc *spctl = hn_start(
 	    "spctl", (const char *[]){"spctl", "--entry",
 			 hn_str("http://127.0.0.1:%u", sys->entry[0].operators),
 			 "apply", hn_write("text.json", sys->text), NULL});
 
-	return hn_wait_exit(spctl, LIMIT_MS) == 0;
+	return hn_wait_exit(spctl, DEMO_TIMEOUT_MS) == 0;
 }
 
 static void
@@ -60,7 +60,7 @@
 	sys_launch(&sys,
 	    &(struct sys_options){.entries = 2, .agents = 4, .domains = 2});
 	printf("applying the configuration with spctl\n");
-	if (!apply_text(&sys))
+	if (!apply_configuration(&sys))
 		code = fail("spctl apply", NULL);
 	if (code == EXIT_SUCCESS) {
 		sys_wait_ready(&sys);
@@ -70,7 +70,7 @@
 		printf("submitting %d tasks of 100 ms\n", N_TASKS);
 		http = hn_http_wait(sys_submit(&sys, 0, id,
 					sys_body(N_TASKS, "{\"run_ms\":100}")),
-		    LIMIT_MS);
+		    DEMO_TIMEOUT_MS);
 		if (http->status == 200)
 			print_summary(&sys, http, id, before);
 		else
--- a/tests/fault_proxy.c
+++ b/tests/fault_proxy.c
@@ -1,20 +1,26 @@
 /*
  * TCP proxy that injects faults: fault_proxy CONTROL LISTEN=TARGET ...
  *
- * All are ports of 127.0.0.1.  A rule is set by an HTTP POST to the control
- * port with the query parameters
- *   pair       listening port; absent: all pairs
+ * CONTROL, LISTEN and TARGET are ports of 127.0.0.1.  A rule is set by an HTTP
+ * POST to the control port with these query parameters:
+ *   pair       listening port of the pair; absent: all pairs
  *   action     cut, freeze, delay, drop, release or restore
- *   match      only connections whose first bytes from the client contain
- *              this text (drop: whose latest bytes from the other side do)
- *   direction  up (from the client), down or both, the default
- *   scope      existing, or all (also later connections), the default
- *   ms         of delay
- * cut closes connections.  freeze holds back data and the end of the stream
- * until release, while each side sees its peer as connected.  drop discards
- * the next data in the direction and closes that connection.  release
- * delivers what was held.  restore removes the rules for later connections
- * and the delays, but does not release.  GET returns the counts of a pair.
+ *   match      affects only connections whose first bytes from the client
+ *              contain this text; for drop, the text must occur in data of
+ *              the opposite direction
+ *   direction  up (from the client), down or both (default)
+ *   scope      existing, or all (default), which includes later connections
+ *   ms         delay in milliseconds
+ * Actions:
+ *   cut      closes the connections
+ *   freeze   holds back data and end of stream until release; both sides still
+ *            see an open connection
+ *   delay    delays data by ms
+ *   drop     discards the next data in the direction and closes its connection
+ *   release  delivers the data that freeze held back
+ *   restore  removes all delays and the rules for later connections; frozen
+ *            connections stay frozen
+ * GET returns the counters of a pair.
  */
 #include <errno.h>
 #include <gio/gio.h>
@@ -27,10 +33,10 @@
 
 #include "process/clock.h"
 
-#define HEAD_MAX   1024
-#define CHUNK_MAX  65536
-#define QUEUE_MAX  (16 * 1024 * 1024)
-#define FROZEN_MAX (256 * 1024 * 1024)
+#define HEAD_MAX_BYTES	 1024
+#define CHUNK_MAX_BYTES	 65536
+#define QUEUE_MAX_BYTES	 (16 * 1024 * 1024)
+#define FROZEN_MAX_BYTES (256 * 1024 * 1024)
 
 enum action { ACT_CUT, ACT_FREEZE, ACT_DELAY, ACT_DROP };
 
@@ -38,7 +44,7 @@
 	enum action action;
 	bool up, down;
 	char *match; /* empty: every connection */
-	int64_t ms;
+	int64_t ms;  /* of delay; drop: address of the link it is armed for */
 };
 
 struct pair {
@@ -50,7 +56,7 @@
 
 struct chunk {
 	GBytes *bytes;
-	int64_t due_ms;
+	int64_t due_ms; /* earliest time of sending */
 };
 
 struct link;
@@ -62,22 +68,23 @@
 	GSource *reader, *writer;
 	guint timer;
 	GQueue chunks;
-	size_t held;
+	size_t held_bytes;
 	int64_t delay_ms;
-	bool frozen, ended, shut;
+	bool frozen, at_eof, write_shut;
 };
 
+/* A client's connection and the proxy's connection to the target. */
 struct link {
 	struct pair *pair;
 	GSocketConnection *client, *server;
 	struct flow up, down;
-	GByteArray *head;
+	GByteArray *head; /* first bytes from the client, for match */
 	bool closed;
 };
 
 static GPtrArray *pairs;
 
-static void pump(struct flow *flow);
+static void forward_chunks(struct flow *flow);
 static void watch_input(struct flow *flow);
 
 static void
@@ -105,7 +112,7 @@
 	clear_source(&flow->writer);
 	g_clear_handle_id(&flow->timer, g_source_remove);
 	g_queue_clear_full(&flow->chunks, chunk_free);
-	flow->held = 0;
+	flow->held_bytes = 0;
 }
 
 static gboolean
@@ -120,7 +127,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Closes both sides now; freed from the main loop, as callers hold it. */
+/* Closes both sockets; the main loop frees the link, since callers use it. */
 static void
 link_close(struct link *link)
 {
@@ -160,7 +167,7 @@
 		link->up.delay_ms = rule->up ? rule->ms : 0;
 		link->down.delay_ms = rule->down ? rule->ms : 0;
 		break;
-	case ACT_DROP: /* judged by each chunk */
+	case ACT_DROP: /* checked for each chunk received */
 		break;
 	}
 }
@@ -174,9 +181,9 @@
 		apply_rule(link, link->pair->rules->pdata[i]);
 }
 
-/* Whether a drop rule takes this chunk; a rule is used once. */
+/* Returns whether a drop rule discards this chunk, and removes that rule. */
 static bool
-take_drop(struct flow *flow, const char *data, size_t len)
+consume_drop_rule(struct flow *flow, const char *data, size_t len)
 {
 	struct link *link = flow->link;
 	GPtrArray *rules = link->pair->rules;
@@ -188,7 +195,7 @@
 
 		if (rule->action != ACT_DROP)
 			continue;
-		/* A request that matches arms the drop of its reply. */
+		/* Matching data arms the rule for the opposite direction. */
 		if (!applies && rule->match[0] != '\0' &&
 		    memmem(data, len, rule->match, strlen(rule->match)) != NULL)
 			rule->ms = (int64_t)(intptr_t)link;
@@ -210,13 +217,13 @@
 	chunk->bytes = g_bytes_new(data, len);
 	chunk->due_ms = clk_now_ms() + flow->delay_ms;
 	g_queue_push_tail(&flow->chunks, chunk);
-	flow->held += len;
+	flow->held_bytes += len;
 }
 
 static gboolean
 on_readable(GSocket *socket, GIOCondition condition, gpointer user)
 {
-	static char data[CHUNK_MAX];
+	static char data[CHUNK_MAX_BYTES];
 	struct flow *flow = user;
 	struct link *link = flow->link;
 	gssize n;
@@ -226,25 +233,26 @@
 	    socket, data, sizeof(data), FALSE, NULL, NULL);
 	if (n <= 0) {
 		clear_source(&flow->reader);
-		flow->ended = true;
-		pump(flow);
+		flow->at_eof = true;
+		forward_chunks(flow);
 		return G_SOURCE_REMOVE;
 	}
-	if (flow == &link->up && link->head->len < HEAD_MAX) {
+	if (flow == &link->up && link->head->len < HEAD_MAX_BYTES) {
 		g_byte_array_append(link->head, (guint8 *)data,
-		    MIN((size_t)n, HEAD_MAX - link->head->len));
+		    MIN((size_t)n, HEAD_MAX_BYTES - link->head->len));
 		apply_rules(link);
 		if (link->closed)
 			return G_SOURCE_REMOVE;
 	}
-	if (take_drop(flow, data, n)) {
+	if (consume_drop_rule(flow, data, n)) {
 		link_close(link);
 		return G_SOURCE_REMOVE;
 	}
 	enqueue(flow, data, n);
-	pump(flow);
+	forward_chunks(flow);
 	if (!link->closed &&
-	    flow->held > (flow->frozen ? FROZEN_MAX : QUEUE_MAX))
+	    flow->held_bytes >
+		(flow->frozen ? FROZEN_MAX_BYTES : QUEUE_MAX_BYTES))
 		clear_source(&flow->reader);
 	return G_SOURCE_CONTINUE;
 }
@@ -266,21 +274,24 @@
 	(void)socket;
 	(void)condition;
 	clear_source(&flow->writer);
-	pump(flow);
+	forward_chunks(flow);
 	return G_SOURCE_REMOVE;
 }
 
 static gboolean
-on_due(gpointer data)
+on_chunk_due(gpointer data)
 {
 	struct flow *flow = data;
 
 	flow->timer = 0;
-	pump(flow);
+	forward_chunks(flow);
 	return G_SOURCE_REMOVE;
 }
 
-/* Sends the first chunk; false when it must wait or the link was closed. */
+/*
+ * Sends data of the first chunk.  Returns false when it must wait, for its
+ * delay or for the socket, or when the link was closed.
+ */
 static bool
 send_chunk(struct flow *flow)
 {
@@ -293,7 +304,7 @@
 	gssize n;
 
 	if (wait_ms > 0) {
-		flow->timer = g_timeout_add(wait_ms, on_due, flow);
+		flow->timer = g_timeout_add(wait_ms, on_chunk_due, flow);
 		return false;
 	}
 	n = g_socket_send_with_blocking(
@@ -312,7 +323,7 @@
 		g_error_free(error);
 		return false;
 	}
-	flow->held -= n;
+	flow->held_bytes -= n;
 	rest = g_bytes_new_from_bytes(chunk->bytes, n, len - n);
 	g_bytes_unref(chunk->bytes);
 	chunk->bytes = rest;
@@ -322,7 +333,7 @@
 }
 
 static void
-pump(struct flow *flow)
+forward_chunks(struct flow *flow)
 {
 	struct link *link = flow->link;
 
@@ -333,12 +344,12 @@
 		if (!send_chunk(flow))
 			return;
 	}
-	if (flow->ended && !flow->shut) {
-		flow->shut = true;
+	if (flow->at_eof && !flow->write_shut) {
+		flow->write_shut = true;
 		g_socket_shutdown(flow->to, FALSE, TRUE, NULL);
-		if (link->up.shut && link->down.shut)
+		if (link->up.write_shut && link->down.write_shut)
 			link_close(link);
-	} else if (!flow->ended && flow->reader == NULL) {
+	} else if (!flow->at_eof && flow->reader == NULL) {
 		watch_input(flow);
 	}
 }
@@ -355,7 +366,7 @@
 	watch_input(flow);
 }
 
-struct dial {
+struct pending_connect {
 	struct pair *pair;
 	GSocketConnection *client;
 };
@@ -363,46 +374,48 @@
 static void
 on_connected(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct dial *dial = data;
+	struct pending_connect *pending_connect = data;
 	GSocketConnection *server = g_socket_client_connect_to_host_finish(
 	    G_SOCKET_CLIENT(source), result, NULL);
 	struct link *link;
 
 	if (server != NULL) {
 		link = g_new0(struct link, 1);
-		link->pair = dial->pair;
-		link->client = g_object_ref(dial->client);
+		link->pair = pending_connect->pair;
+		link->client = g_object_ref(pending_connect->client);
 		link->server = server;
 		link->head = g_byte_array_new();
-		flow_init(&link->up, link, dial->client, server);
-		flow_init(&link->down, link, server, dial->client);
-		g_ptr_array_add(dial->pair->links, link);
+		flow_init(&link->up, link, pending_connect->client, server);
+		flow_init(&link->down, link, server, pending_connect->client);
+		g_ptr_array_add(pending_connect->pair->links, link);
 		apply_rules(link);
 	} else {
-		g_io_stream_close(G_IO_STREAM(dial->client), NULL, NULL);
+		g_io_stream_close(
+		    G_IO_STREAM(pending_connect->client), NULL, NULL);
 	}
-	g_object_unref(dial->client);
-	g_free(dial);
+	g_object_unref(pending_connect->client);
+	g_free(pending_connect);
 }
 
 /*
- * Connects without blocking, since a stopped target accepts nothing once its
- * backlog is full, and the other connections must go on.
+ * Connects to the target asynchronously: once the backlog of a stopped target
+ * is full, connecting blocks, which would stall all other connections.
  */
 static gboolean
 on_incoming(GSocketService *service, GSocketConnection *client, GObject *source,
     gpointer data)
 {
-	struct dial *dial = g_new0(struct dial, 1);
+	struct pending_connect *pending_connect =
+	    g_new0(struct pending_connect, 1);
 	GSocketClient *connector = g_socket_client_new();
 
 	(void)service;
 	(void)source;
-	dial->pair = data;
-	dial->pair->accepted++;
-	dial->client = g_object_ref(client);
+	pending_connect->pair = data;
+	pending_connect->pair->accepted++;
+	pending_connect->client = g_object_ref(client);
 	g_socket_client_connect_to_host_async(connector, "127.0.0.1",
-	    dial->pair->target, NULL, on_connected, dial);
+	    pending_connect->pair->target, NULL, on_connected, pending_connect);
 	g_object_unref(connector);
 	return TRUE;
 }
@@ -411,12 +424,12 @@
 flow_release(struct flow *flow)
 {
 	flow->frozen = false;
-	pump(flow);
+	forward_chunks(flow);
 }
 
-/* Runs a rule's change on the links that exist; links may close meanwhile. */
+/* Applies an action to the open links, of which some may close meanwhile. */
 static void
-each_link(struct pair *pair, const struct rule *rule, const char *action)
+apply_to_links(struct pair *pair, const struct rule *rule, const char *action)
 {
 	GPtrArray *links = g_ptr_array_copy(pair->links, NULL, NULL);
 	guint i;
@@ -464,7 +477,7 @@
 	const char *action = param(query, "action", "");
 	const char *direction = param(query, "direction", "both");
 	struct rule *rule = g_new0(struct rule, 1);
-	bool stays = strcmp(param(query, "scope", "all"), "existing") != 0;
+	bool persistent = strcmp(param(query, "scope", "all"), "existing") != 0;
 	size_t i;
 
 	rule->up = strcmp(direction, "down") != 0;
@@ -482,13 +495,13 @@
 		if (strcmp(action, "restore") == 0)
 			g_ptr_array_set_size(pair->rules, 0);
 		if (known)
-			each_link(pair, rule, action);
+			apply_to_links(pair, rule, action);
 		rule_free(rule);
 		return known;
 	}
 	rule->action = (enum action)i;
-	each_link(pair, rule, action);
-	if (stays)
+	apply_to_links(pair, rule, action);
+	if (persistent)
 		g_ptr_array_add(pair->rules, rule);
 	else
 		rule_free(rule);
@@ -496,9 +509,9 @@
 }
 
 static char *
-counts(uint16_t listen)
+counters_json(uint16_t listen)
 {
-	uint64_t accepted = 0, dropped = 0, open = 0, held = 0;
+	uint64_t accepted = 0, dropped = 0, open = 0, held_bytes = 0;
 	guint i, j;
 
 	for (i = 0; i < pairs->len; i++) {
@@ -512,14 +525,15 @@
 		for (j = 0; j < pair->links->len; j++) {
 			struct link *link = pair->links->pdata[j];
 
-			held += link->up.held + link->down.held;
+			held_bytes +=
+			    link->up.held_bytes + link->down.held_bytes;
 		}
 	}
 	return g_strdup_printf("{\"accepted\":%" G_GUINT64_FORMAT
 			       ",\"open\":%" G_GUINT64_FORMAT
 			       ",\"dropped\":%" G_GUINT64_FORMAT
 			       ",\"held\":%" G_GUINT64_FORMAT "}\n",
-	    accepted, open, dropped, held);
+	    accepted, open, dropped, held_bytes);
 }
 
 static void
@@ -543,7 +557,7 @@
 				ok = set_rule(pair, query) && ok;
 		}
 	}
-	text = counts(listen);
+	text = counters_json(listen);
 	soup_server_message_set_response(
 	    msg, "application/json", SOUP_MEMORY_TAKE, text, strlen(text));
 	soup_server_message_set_status(msg, ok ? 200 : 400, NULL);
--- a/tests/standin_endpoint.c
+++ b/tests/standin_endpoint.c
@@ -1,12 +1,21 @@
 /*
- * A stand-in for an endpoint: announces itself to the agent beside it, runs
- * tasks by waiting, and counts the starts by task id.  The payload of a task
- * is {"run_ms", "fail", "die", "hang", "size"}, all optional.
+ * Test endpoint: announces itself to the agent on its host, simulates tasks by
+ * timers, and counts the starts of each task id.  The payload of a task is a
+ * JSON object whose members are all optional:
+ *   run_ms  run time at speed 1
+ *   fail    true: answers with status 500
+ *   hang    true: is not answered until /control/mode?hang=0
+ *   die     true: the endpoint exits at once
+ *   size    bytes of padding in the answer
  *
- * GET /control/starts[?summary=1]  counts of starts
- * GET /control/mode?fail=&hang=&speed=&silent=&late=
- *   fail: tasks fail at once, hang: tasks do not end (0 answers those that
- *   hang), silent: no announcements, late: ignores Sequoiaplank-Start-By.
+ * GET /control/starts[?summary=1]  counters, and starts by task id unless
+ *                                  summary is given
+ * GET /control/mode?...  changes the behaviour:
+ *   fail=1    all tasks fail at once
+ *   hang=1    no task is answered; hang=0 answers the tasks that hang
+ *   speed=F   divides run times by F
+ *   silent=1  sends no announcements
+ *   late=1    runs tasks also after the time in Sequoiaplank-Start-By
  */
 #include <argp.h>
 #include <glib-unix.h>
@@ -22,15 +31,15 @@
 #include "process/clock.h"
 
 #define ANNOUNCE_TIMEOUT_S 2
-#define RENEWALS_PER_TTL   3
-#define LINGER_MS	   300 /* calls on their way when draining began */
+#define ANNOUNCES_PER_TTL  3
+#define DRAIN_LINGER_MS	   300 /* for calls already sent when draining began */
 #define SIZE_MAX_BYTES	   (8 << 20)
 #define RUN_MAX_MS	   3600000.0
-#define DIED		   3
+#define DIE_EXIT_STATUS	   3
 
 static struct {
 	const char *listen;
-	const char *agent; /* "http://ip:port", or NULL: no announcements */
+	const char *agent; /* "http://ip:port"; NULL: no announcements */
 	const char *service;
 	uint32_t slots;
 	uint32_t connections;
@@ -47,7 +56,7 @@
 static struct {
 	uint64_t total;
 	uint64_t duplicates;
-	uint64_t late;	     /* refused because of Sequoiaplank-Start-By */
+	uint64_t late;	     /* refused, as Sequoiaplank-Start-By had passed */
 	uint64_t over_slots; /* starts while all slots were in use */
 	uint32_t in_use;
 	uint32_t most_in_use;
@@ -56,7 +65,7 @@
 	bool silent;
 	bool ignore_start_by;
 	bool draining;
-	bool drain_told;
+	bool drain_announced;
 	int64_t idle_since_ms;
 } state;
 
@@ -79,7 +88,7 @@
 }
 
 static void
-answer(struct run *run)
+answer_run(struct run *run)
 {
 	GString *text = g_string_new("{\"task\":");
 	struct json_object *id = json_object_new_string(run->task_id);
@@ -106,7 +115,7 @@
 static gboolean
 on_run_ended(gpointer data)
 {
-	answer(data);
+	answer_run(data);
 	return G_SOURCE_REMOVE;
 }
 
@@ -125,7 +134,7 @@
 }
 
 static bool
-is_late(SoupMessageHeaders *headers)
+start_by_passed(SoupMessageHeaders *headers)
 {
 	const char *value =
 	    soup_message_headers_get_one(headers, "Sequoiaplank-Start-By");
@@ -164,7 +173,7 @@
 	if (body->length > 0)
 		root = json_tokener_parse(body->data);
 	if (member_bool(root, "die"))
-		_exit(DIED);
+		_exit(DIE_EXIT_STATUS);
 	run->msg = g_object_ref(msg);
 	run->task_id = g_strdup(task_id);
 	run->fail = state.fail || member_bool(root, "fail");
@@ -196,7 +205,7 @@
 	(void)data;
 	if (task_id == NULL) {
 		reply_json(msg, 400, g_string_new("{\"error\":\"no id\"}"));
-	} else if (is_late(headers)) {
+	} else if (start_by_passed(headers)) {
 		state.late++;
 		soup_message_headers_replace(
 		    soup_server_message_get_response_headers(msg),
@@ -230,7 +239,7 @@
 		g_string_append(text, ",\"starts\":{");
 		g_hash_table_iter_init(&iter, starts);
 		while (g_hash_table_iter_next(&iter, &key, &value)) {
-			/* Ids are ours: hex digits, '-', '/'. */
+			/* Ids need no escaping: hex digits, '-' and '/'. */
 			g_string_append_printf(text, "%s\"%s\":%u", separator,
 			    (char *)key, GPOINTER_TO_UINT(value));
 			separator = ",";
@@ -270,7 +279,7 @@
 	}
 	while (query != NULL && g_hash_table_contains(query, "hang") &&
 	       !state.hang && hanging->len > 0)
-		answer(g_ptr_array_remove_index(hanging, 0));
+		answer_run(g_ptr_array_remove_index(hanging, 0));
 	reply_json(msg, 200, g_string_new("{}"));
 }
 
@@ -281,7 +290,7 @@
 	    soup_session_send_and_read_finish(SOUP_SESSION(source), res, NULL);
 
 	if (data != NULL)
-		state.drain_told = true;
+		state.drain_announced = true;
 	g_clear_pointer(&bytes, g_bytes_unref);
 }
 
@@ -317,7 +326,7 @@
 }
 
 static gboolean
-on_renew(gpointer data)
+on_announce_due(gpointer data)
 {
 	(void)data;
 	announce();
@@ -328,8 +337,9 @@
 on_drain_check(gpointer data)
 {
 	(void)data;
-	if ((state.drain_told || opts.agent == NULL) && state.in_use == 0 &&
-	    clk_now_ms() - state.idle_since_ms > LINGER_MS)
+	if ((state.drain_announced || opts.agent == NULL) &&
+	    state.in_use == 0 &&
+	    clk_now_ms() - state.idle_since_ms > DRAIN_LINGER_MS)
 		g_main_loop_quit(loop);
 	return G_SOURCE_CONTINUE;
 }
@@ -351,7 +361,7 @@
 enum { OPT_CORES = 256, OPT_MEMORY, OPT_TTL };
 
 static const struct argp_option options[] = {
-    {"listen", 'l', "IP:PORT", 0, "Serve HTTP here", 0},
+    {"listen", 'l', "IP:PORT", 0, "Serve HTTP on IP:PORT", 0},
     {"agent", 'a', "URL", 0, "Announce to the agent at URL", 0},
     {"service", 's', "NAME", 0, "Service", 0},
     {"slots", 'n', "N", 0, "Tasks at a time", 0},
@@ -453,7 +463,8 @@
 	    "proxy-resolver", NULL, "timeout", ANNOUNCE_TIMEOUT_S, NULL);
 	server = serve();
 	announce();
-	g_timeout_add(MAX(opts.ttl_ms / RENEWALS_PER_TTL, 1), on_renew, NULL);
+	g_timeout_add(
+	    MAX(opts.ttl_ms / ANNOUNCES_PER_TTL, 1), on_announce_due, NULL);
 	g_unix_signal_add(SIGTERM, on_term, NULL);
 	g_main_loop_run(loop);
 	soup_server_disconnect(server);
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -1,19 +1,25 @@
 /*
- * A stand-in for the platform: its store, and workers that run tasks under
- * leases.  It watches the promises about tasks: "limit" counts starts over a
- * worker's capacity, "twice" starts of a task that runs already.
+ * Test platform: a key-value store, and workers that run tasks under leases.
+ * It counts violations of guarantees: "limit" counts starts beyond a worker's
+ * capacity, "twice" starts of a task that is already running.
  *
- * A task takes the milliseconds that its spec says; "fail" fails at once.
+ * The spec of a task is its run time in milliseconds, or "fail" for a task that
+ * fails at once.
  *
- * PUT    /control/key?key=K     the operator writes the body under a key
- * DELETE /control/key?key=K     the operator removes a key
- * GET    /control/counts        counts since the start
- * GET    /control/mode?...      store=down|up; late=PERCENT of the orders get
- *   no answer and are carried out later; fail=N, stall=N, drain=N: worker N
- *   (-1: none) fails, halts or drains; mute=N: worker N takes no call and
- *   sends no heartbeat; crash=N: starts anew at once; beats=0: no worker
- *   sends heartbeats
+ * PUT    /control/key?key=K      writes the body to the store, as an operator
+ * DELETE /control/key?key=K      removes the key from the store
+ * GET    /control/counts         counters since the process started
  * GET    /control/starts?job=ID  starts of the job's tasks
+ * GET    /control/mode?...       injects faults; worker -1 means none:
+ *   store=down|up  while down, the store answers 503 and no watches
+ *   late=PERCENT   of the run-start and run-stop calls get no answer and are
+ *                  executed 300 to 1500 ms later
+ *   fail=N         all tasks of worker N fail
+ *   stall=N        tasks of worker N make no progress
+ *   drain=N        worker N reports itself as draining
+ *   mute=N         worker N answers no calls and sends no heartbeats
+ *   crash=N        worker N loses its state and restarts at once
+ *   beats=0        no worker sends heartbeats
  */
 #include <argp.h>
 #include <glib.h>
@@ -27,23 +33,23 @@
 
 #include "process/clock.h"
 
-#define MAX_WORKERS	8
-#define CAPACITY_MILLI	8000
-#define TASK_MILLI	1000 /* every task of the tests has this size */
-#define MAX_HOLD_MS	1000
-#define HEARTBEAT_MS	200
-#define TICK_MS		5
-#define STOP_MS		20
-#define LATE_MIN_MS	300
-#define LATE_MAX_MS	1500
-#define INSTANCES	"/sequoiaplank/instances/"
-#define WATCH_TIMEOUT_S 2
+#define MAX_WORKERS	    8
+#define CAPACITY_MILLI	    8000
+#define TASK_MILLI	    1000 /* all tasks in the tests ask for this much CPU */
+#define LEASE_MAX_MS	    1000 /* longest lease granted by one call */
+#define WORKER_HEARTBEAT_MS 200
+#define RUN_TICK_MS	    5
+#define RUN_STOP_MS	    20
+#define DEFERRED_MIN_MS	    300
+#define DEFERRED_MAX_MS	    1500
+#define INSTANCES	    "/sequoiaplank/instances/"
+#define HEARTBEAT_TIMEOUT_S 2
 
 struct run {
 	char *task;
 	int64_t number;
-	int64_t left_ms;
-	int64_t all_ms;
+	int64_t remaining_ms;
+	int64_t total_ms;
 	int64_t stop_at_ms; /* 0: not being stopped */
 	bool fails;
 };
@@ -53,23 +59,23 @@
 	guint app_port;
 	guint control_port;
 	char *zone;
-	int64_t born_ms;
-	int64_t seq;
-	int64_t token;
-	int64_t deadline_ms;
-	int64_t next_end;
+	int64_t born_ms;       /* start of this incarnation, wall clock */
+	int64_t seq;	       /* of the last heartbeat */
+	int64_t fencing_token; /* highest fencing token received */
+	int64_t deadline_ms;   /* end of the lease, on the worker's clock */
+	int64_t last_end_seq;
 	GPtrArray *runs;	   /* struct run */
-	struct json_object *ended; /* rows */
-	GHashTable *sealed;	   /* task to highest run */
-	GPtrArray *waiting;	   /* struct wait */
+	struct json_object *ended; /* ended runs to report */
+	GHashTable *closed_runs;   /* task -> highest run that may not start */
+	GPtrArray *holds;	   /* struct pending_reply */
 	bool crashed;
 };
 
-/* A call that is answered later: a watch or a hold. */
-struct wait {
+/* A call that is answered later: a store watch or a worker's hold. */
+struct pending_reply {
 	SoupServerMessage *msg;
-	char *prefix; /* watch */
-	int64_t after;
+	char *prefix;  /* watch: of the keys */
+	int64_t after; /* watch: answered with later revisions */
 	int64_t until_ms;
 };
 
@@ -80,7 +86,7 @@
 
 static struct worker workers[MAX_WORKERS];
 static int n_workers;
-static GHashTable *items; /* key to struct item */
+static GHashTable *items; /* key -> struct item */
 static GPtrArray *watches;
 static int64_t revision = 1;
 static guint store_port;
@@ -90,11 +96,11 @@
 } counts;
 static struct {
 	bool store_down;
-	int late_percent;
+	int deferred_percent;
 	int fail, stall, drain, mute;
 	int beats;
 } mode = {.fail = -1, .stall = -1, .drain = -1, .mute = -1, .beats = 1};
-static GHashTable *job_starts; /* job to count of starts */
+static GHashTable *job_starts; /* job -> starts of its tasks */
 
 static void
 reply(SoupServerMessage *msg, guint code, struct json_object *body)
@@ -145,7 +151,7 @@
 }
 
 static void
-add(struct json_object *to, const char *key, int64_t value)
+add_int(struct json_object *to, const char *key, int64_t value)
 {
 	json_object_object_add(to, key, json_object_new_int64(value));
 }
@@ -168,7 +174,7 @@
 	gsize len;
 
 	json_object_object_add(json, "key", json_object_new_string(key));
-	add(json, "revision", item->revision);
+	add_int(json, "revision", item->revision);
 	if (item->data == NULL) {
 		json_object_object_add(
 		    json, "deleted", json_object_new_boolean(TRUE));
@@ -182,7 +188,7 @@
 	return json;
 }
 
-/* Items behind a revision; deletions only for a watch. */
+/* Returns the items written after a revision, and deletions if asked. */
 static struct json_object *
 select_items(const char *prefix, int64_t after, bool deletions)
 {
@@ -202,17 +208,17 @@
 }
 
 static void
-answer_watch(struct wait *wait, struct json_object *events)
+answer_watch(struct pending_reply *pending_reply, struct json_object *events)
 {
 	struct json_object *body = json_object_new_object();
 
 	json_object_object_add(body, "events", events);
-	add(body, "as_of", revision);
-	reply(wait->msg, 200, body);
-	soup_server_message_unpause(wait->msg);
-	g_object_unref(wait->msg);
-	g_free(wait->prefix);
-	g_free(wait);
+	add_int(body, "as_of", revision);
+	reply(pending_reply->msg, 200, body);
+	soup_server_message_unpause(pending_reply->msg);
+	g_object_unref(pending_reply->msg);
+	g_free(pending_reply->prefix);
+	g_free(pending_reply);
 }
 
 static void
@@ -221,14 +227,15 @@
 	guint i = 0;
 
 	while (i < watches->len) {
-		struct wait *wait = watches->pdata[i];
-		struct json_object *events =
-		    select_items(wait->prefix, wait->after, true);
+		struct pending_reply *pending_reply = watches->pdata[i];
+		struct json_object *events = select_items(
+		    pending_reply->prefix, pending_reply->after, true);
 
-		if (!mode.store_down && (json_object_array_length(events) > 0 ||
-					    clk_now_ms() >= wait->until_ms)) {
+		if (!mode.store_down &&
+		    (json_object_array_length(events) > 0 ||
+			clk_now_ms() >= pending_reply->until_ms)) {
 			g_ptr_array_remove_index_fast(watches, i);
-			answer_watch(wait, events);
+			answer_watch(pending_reply, events);
 			continue;
 		}
 		json_object_put(events);
@@ -236,7 +243,7 @@
 	}
 }
 
-/* data NULL: removes the key. */
+/* Writes a key and answers its watches; data NULL deletes the key. */
 static void
 write_key(const char *key, GBytes *data)
 {
@@ -249,7 +256,7 @@
 }
 
 static void
-transact(SoupServerMessage *msg)
+handle_transaction(SoupServerMessage *msg)
 {
 	struct json_object *body = body_of(msg);
 	struct json_object *answer = json_object_new_object();
@@ -268,7 +275,7 @@
 			    g_bytes_new_take(data, len));
 		}
 	}
-	add(answer, "revision", revision);
+	add_int(answer, "revision", revision);
 	reply(msg, 200, answer);
 	json_object_put(body);
 }
@@ -278,7 +285,7 @@
     GHashTable *query, gpointer data)
 {
 	struct json_object *body;
-	struct wait *wait;
+	struct pending_reply *pending_reply;
 
 	(void)server;
 	(void)data;
@@ -290,19 +297,20 @@
 		    select_items(param(query, "prefix"), 0, false));
 		json_object_object_add(
 		    body, "has_more", json_object_new_boolean(FALSE));
-		add(body, "as_of", revision);
+		add_int(body, "as_of", revision);
 		reply(msg, 200, body);
 	} else if (g_str_has_suffix(path, "kv-watch")) {
-		wait = g_new0(struct wait, 1);
-		wait->msg = g_object_ref(msg);
-		wait->prefix = g_strdup(param(query, "prefix"));
-		wait->after = atoll(param(query, "after"));
-		wait->until_ms = clk_now_ms() + atoll(param(query, "wait_ms"));
+		pending_reply = g_new0(struct pending_reply, 1);
+		pending_reply->msg = g_object_ref(msg);
+		pending_reply->prefix = g_strdup(param(query, "prefix"));
+		pending_reply->after = atoll(param(query, "after"));
+		pending_reply->until_ms =
+		    clk_now_ms() + atoll(param(query, "wait_ms"));
 		soup_server_message_pause(msg);
-		g_ptr_array_add(watches, wait);
+		g_ptr_array_add(watches, pending_reply);
 		check_watches();
 	} else {
-		transact(msg);
+		handle_transaction(msg);
 	}
 }
 
@@ -338,18 +346,18 @@
 }
 
 static void
-seal(struct worker *w, const char *task, int64_t number)
+close_run(struct worker *w, const char *task, int64_t number)
 {
-	int64_t *held = g_hash_table_lookup(w->sealed, task);
+	int64_t *highest = g_hash_table_lookup(w->closed_runs, task);
 
-	if (held != NULL && *held >= number)
+	if (highest != NULL && *highest >= number)
 		return;
 	g_hash_table_replace(
-	    w->sealed, g_strdup(task), g_memdup2(&number, sizeof(number)));
+	    w->closed_runs, g_strdup(task), g_memdup2(&number, sizeof(number)));
 }
 
 static void
-answer_hold(struct worker *w, struct wait *wait)
+answer_hold(struct worker *w, struct pending_reply *pending_reply)
 {
 	struct json_object *body = json_object_new_object();
 	struct json_object *rows = json_object_new_array();
@@ -363,9 +371,9 @@
 		json_object_array_add(row, json_object_new_string(run->task));
 		json_object_array_add(row, json_object_new_int64(run->number));
 		json_object_array_add(row, json_object_new_string(""));
-		json_object_array_add(
-		    row, json_object_new_int64(
-			     100 - run->left_ms * 100 / MAX(run->all_ms, 1)));
+		json_object_array_add(row,
+		    json_object_new_int64(
+			100 - run->remaining_ms * 100 / MAX(run->total_ms, 1)));
 		json_object_array_add(rows, row);
 	}
 	for (i = 0; i < json_object_array_length(w->ended); i++)
@@ -373,12 +381,12 @@
 		    json_object_get(json_object_array_get_idx(w->ended, i)));
 	json_object_object_add(body, "running", rows);
 	json_object_object_add(body, "ended", ended);
-	add(body, "clock_ms", worker_clock(w));
-	add(body, "born", w->born_ms);
-	reply(wait->msg, 200, body);
-	soup_server_message_unpause(wait->msg);
-	g_object_unref(wait->msg);
-	g_free(wait);
+	add_int(body, "clock_ms", worker_clock(w));
+	add_int(body, "born", w->born_ms);
+	reply(pending_reply->msg, 200, body);
+	soup_server_message_unpause(pending_reply->msg);
+	g_object_unref(pending_reply->msg);
+	g_free(pending_reply);
 }
 
 static void
@@ -386,16 +394,16 @@
 {
 	guint i = 0;
 
-	while (i < w->waiting->len) {
-		struct wait *wait = w->waiting->pdata[i];
+	while (i < w->holds->len) {
+		struct pending_reply *pending_reply = w->holds->pdata[i];
 
 		if (json_object_array_length(w->ended) == 0 &&
-		    clk_now_ms() < wait->until_ms) {
+		    clk_now_ms() < pending_reply->until_ms) {
 			i++;
 			continue;
 		}
-		g_ptr_array_remove_index_fast(w->waiting, i);
-		answer_hold(w, wait);
+		g_ptr_array_remove_index_fast(w->holds, i);
+		answer_hold(w, pending_reply);
 	}
 }
 
@@ -405,13 +413,13 @@
 	struct run *run = w->runs->pdata[index];
 	struct json_object *row = json_object_new_array();
 
-	json_object_array_add(row, json_object_new_int64(++w->next_end));
+	json_object_array_add(row, json_object_new_int64(++w->last_end_seq));
 	json_object_array_add(row, json_object_new_string(run->task));
 	json_object_array_add(row, json_object_new_int64(run->number));
 	json_object_array_add(row, json_object_new_string(how));
 	json_object_array_add(row, json_object_new_string(""));
 	json_object_array_add(w->ended, row);
-	seal(w, run->task, run->number);
+	close_run(w, run->task, run->number);
 	g_ptr_array_remove_index(w->runs, index);
 }
 
@@ -449,7 +457,7 @@
 	counts.starts++;
 	run->task = g_strdup(get_string(body, "task"));
 	run->number = get_int(body, "run");
-	run->all_ms = run->left_ms = atoll(get_string(body, "spec"));
+	run->total_ms = run->remaining_ms = atoll(get_string(body, "spec"));
 	run->fails = strcmp(get_string(body, "spec"), "fail") == 0;
 	if (runs_anywhere(run->task))
 		counts.twice++;
@@ -459,22 +467,26 @@
 		counts.limit++;
 }
 
-/* Carries out a start; returns the reason of a refusal, or NULL. */
+/*
+ * Starts a run unless it is running.  Returns NULL or the reason for a refusal:
+ * "fence" (a higher fencing token was received before), "late" (the deadline
+ * has passed) or "old" (this or a later run of the task ended or was stopped).
+ */
 static const char *
 start_run(struct worker *w, struct json_object *body)
 {
 	const char *task = get_string(body, "task");
-	const int64_t *sealed = g_hash_table_lookup(w->sealed, task);
+	const int64_t *highest = g_hash_table_lookup(w->closed_runs, task);
 	int64_t deadline_ms = get_int(body, "deadline_ms");
 
-	if (get_int(body, "fencing_token") < w->token)
+	if (get_int(body, "fencing_token") < w->fencing_token)
 		return "fence";
-	w->token = get_int(body, "fencing_token");
+	w->fencing_token = get_int(body, "fencing_token");
 	if (deadline_ms <= worker_clock(w))
 		return "late";
 	w->deadline_ms = MAX(
-	    w->deadline_ms, MIN(deadline_ms, worker_clock(w) + MAX_HOLD_MS));
-	if (sealed != NULL && *sealed >= get_int(body, "run"))
+	    w->deadline_ms, MIN(deadline_ms, worker_clock(w) + LEASE_MAX_MS));
+	if (highest != NULL && *highest >= get_int(body, "run"))
 		return "old";
 	if (find_run(w, task, get_int(body, "run")) == NULL)
 		add_run(w, body);
@@ -488,71 +500,74 @@
 	int64_t number = get_int(body, "run");
 	guint i;
 
-	if (get_int(body, "fencing_token") < w->token)
+	if (get_int(body, "fencing_token") < w->fencing_token)
 		return "fence";
-	seal(w, task, number);
+	close_run(w, task, number);
 	for (i = 0; i < w->runs->len; i++) {
 		struct run *run = w->runs->pdata[i];
 
 		if (strcmp(run->task, task) == 0 && run->number <= number &&
 		    run->stop_at_ms == 0)
-			run->stop_at_ms = clk_now_ms() + STOP_MS;
+			run->stop_at_ms = clk_now_ms() + RUN_STOP_MS;
 	}
 	return NULL;
 }
 
 static const char *
-carry_out(struct worker *w, const char *path, struct json_object *body)
+execute_call(struct worker *w, const char *path, struct json_object *body)
 {
 	return g_str_has_suffix(path, "run-start") ? start_run(w, body)
 						   : stop_run(w, body);
 }
 
-/* An order that its caller has got no answer for. */
-struct late {
+/* A call that gets no answer but is executed later. */
+struct deferred_call {
 	struct worker *worker;
 	char *path;
 	struct json_object *body;
 };
 
 static gboolean
-on_late(gpointer data)
+on_deferred_call(gpointer data)
 {
-	struct late *late = data;
+	struct deferred_call *deferred_call = data;
 
-	carry_out(late->worker, late->path, late->body);
-	g_free(late->path);
-	json_object_put(late->body);
-	g_free(late);
+	execute_call(
+	    deferred_call->worker, deferred_call->path, deferred_call->body);
+	g_free(deferred_call->path);
+	json_object_put(deferred_call->body);
+	g_free(deferred_call);
 	return G_SOURCE_REMOVE;
 }
 
 static void
-defer(struct worker *w, SoupServerMessage *msg, const char *path,
+defer_call(struct worker *w, SoupServerMessage *msg, const char *path,
     struct json_object *body)
 {
-	struct late *late = g_new0(struct late, 1);
+	struct deferred_call *deferred_call = g_new0(struct deferred_call, 1);
 
-	late->worker = w;
-	late->path = g_strdup(path);
-	late->body = json_object_get(body);
+	deferred_call->worker = w;
+	deferred_call->path = g_strdup(path);
+	deferred_call->body = json_object_get(body);
 	g_timeout_add(
-	    (guint)g_random_int_range(LATE_MIN_MS, LATE_MAX_MS), on_late, late);
+	    (guint)g_random_int_range(DEFERRED_MIN_MS, DEFERRED_MAX_MS),
+	    on_deferred_call, deferred_call);
 	soup_server_message_pause(msg); /* until the caller closes */
 }
 
 static void
 take_hold(struct worker *w, SoupServerMessage *msg, struct json_object *body)
 {
-	struct wait *wait = g_new0(struct wait, 1);
+	struct pending_reply *pending_reply = g_new0(struct pending_reply, 1);
 	int64_t last = get_int(body, "last_seen");
 	int64_t deadline_ms = get_int(body, "deadline_ms");
 	size_t i = 0;
 
-	w->token = MAX(w->token, get_int(body, "fencing_token"));
+	w->fencing_token =
+	    MAX(w->fencing_token, get_int(body, "fencing_token"));
 	if (deadline_ms > 0)
 		w->deadline_ms = MAX(w->deadline_ms,
-		    MIN(deadline_ms, worker_clock(w) + MAX_HOLD_MS));
+		    MIN(deadline_ms, worker_clock(w) + LEASE_MAX_MS));
 	while (i < json_object_array_length(w->ended)) {
 		struct json_object *row =
 		    json_object_array_get_idx(w->ended, i);
@@ -563,10 +578,10 @@
 		else
 			i++;
 	}
-	wait->msg = g_object_ref(msg);
-	wait->until_ms = clk_now_ms() + get_int(body, "wait_ms");
+	pending_reply->msg = g_object_ref(msg);
+	pending_reply->until_ms = clk_now_ms() + get_int(body, "wait_ms");
 	soup_server_message_pause(msg);
-	g_ptr_array_add(w->waiting, wait);
+	g_ptr_array_add(w->holds, pending_reply);
 	check_holds(w);
 }
 
@@ -591,15 +606,15 @@
 		reply(msg, 400, json_object_new_object());
 		return;
 	}
-	if (g_random_int_range(0, 100) < mode.late_percent &&
+	if (g_random_int_range(0, 100) < mode.deferred_percent &&
 	    !g_str_has_suffix(path, "hold")) {
-		defer(w, msg, path, body);
+		defer_call(w, msg, path, body);
 	} else if (g_str_has_suffix(path, "hold")) {
 		take_hold(w, msg, body);
 	} else {
-		reason = carry_out(w, path, body);
+		reason = execute_call(w, path, body);
 		answer = json_object_new_object();
-		add(answer, "clock_ms", worker_clock(w));
+		add_int(answer, "clock_ms", worker_clock(w));
 		if (reason != NULL)
 			json_object_object_add(
 			    answer, "reason", json_object_new_string(reason));
@@ -609,29 +624,29 @@
 }
 
 static void
-begin_life(struct worker *w)
+reset_worker(struct worker *w)
 {
 	w->born_ms = clk_wall_ms();
-	w->seq = w->token = w->deadline_ms = w->next_end = 0;
+	w->seq = w->fencing_token = w->deadline_ms = w->last_end_seq = 0;
 	g_ptr_array_set_size(w->runs, 0);
 	json_object_put(w->ended);
 	w->ended = json_object_new_array();
-	g_hash_table_remove_all(w->sealed);
+	g_hash_table_remove_all(w->closed_runs);
 }
 
 static void
-step_run(struct worker *w, guint index, int64_t elapsed_ms)
+advance_run(struct worker *w, guint index, int64_t elapsed_ms)
 {
 	struct run *run = w->runs->pdata[index];
 
 	if (mode.stall != w->index)
-		run->left_ms -= elapsed_ms;
+		run->remaining_ms -= elapsed_ms;
 	if (run->stop_at_ms != 0 && clk_now_ms() >= run->stop_at_ms) {
 		end_run(w, index, "stopped");
 	} else if (run->fails || mode.fail == w->index) {
 		counts.failed++;
 		end_run(w, index, "failed");
-	} else if (run->left_ms <= 0) {
+	} else if (run->remaining_ms <= 0) {
 		counts.done++;
 		end_run(w, index, "done");
 	}
@@ -657,7 +672,7 @@
 				counts.lapsed++;
 				end_run(w, j - 1, "lapsed");
 			} else {
-				step_run(w, j - 1, elapsed_ms);
+				advance_run(w, j - 1, elapsed_ms);
 			}
 		}
 		check_holds(w);
@@ -721,7 +736,7 @@
 
 	if (*param(query, "store") != '\0')
 		mode.store_down = strcmp(param(query, "store"), "down") == 0;
-	set_number(query, "late", &mode.late_percent);
+	set_number(query, "late", &mode.deferred_percent);
 	set_number(query, "fail", &mode.fail);
 	set_number(query, "stall", &mode.stall);
 	set_number(query, "drain", &mode.drain);
@@ -729,7 +744,7 @@
 	set_number(query, "beats", &mode.beats);
 	set_number(query, "crash", &crash);
 	if (crash >= 0 && crash < n_workers)
-		begin_life(&workers[crash]);
+		reset_worker(&workers[crash]);
 	on_heartbeat(NULL);
 }
 
@@ -738,7 +753,7 @@
 {
 	struct json_object *body = json_object_new_object();
 
-	add(body, "starts",
+	add_int(body, "starts",
 	    GPOINTER_TO_INT(g_hash_table_lookup(job_starts, job)));
 	return body;
 }
@@ -751,14 +766,14 @@
 
 	for (i = 0; i < n_workers; i++)
 		running += (int)workers[i].runs->len;
-	add(body, "starts", counts.starts);
-	add(body, "done", counts.done);
-	add(body, "failed", counts.failed);
-	add(body, "limit", counts.limit);
-	add(body, "twice", counts.twice);
-	add(body, "lapsed", counts.lapsed);
-	add(body, "malformed", counts.malformed);
-	add(body, "running", running);
+	add_int(body, "starts", counts.starts);
+	add_int(body, "done", counts.done);
+	add_int(body, "failed", counts.failed);
+	add_int(body, "limit", counts.limit);
+	add_int(body, "twice", counts.twice);
+	add_int(body, "lapsed", counts.lapsed);
+	add_int(body, "malformed", counts.malformed);
+	add_int(body, "running", running);
 	return body;
 }
 
@@ -816,10 +831,10 @@
 	w->control_port = (guint)atoi(parts[1]);
 	w->zone = g_strdup(parts[2]);
 	w->runs = g_ptr_array_new_with_free_func(run_free);
-	w->sealed =
+	w->closed_runs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	w->waiting = g_ptr_array_new();
-	begin_life(w);
+	w->holds = g_ptr_array_new();
+	reset_worker(w);
 	serve(w->app_port, on_worker, w);
 	return true;
 }
@@ -858,11 +873,11 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	watches = g_ptr_array_new();
 	session = soup_session_new_with_options(
-	    "proxy-resolver", NULL, "timeout", WATCH_TIMEOUT_S, NULL);
+	    "proxy-resolver", NULL, "timeout", HEARTBEAT_TIMEOUT_S, NULL);
 	argp_parse(&parser, argc, argv, 0, NULL, NULL);
 	serve(store_port, on_store, NULL);
-	g_timeout_add(TICK_MS, on_tick, NULL);
-	g_timeout_add(HEARTBEAT_MS, on_heartbeat, NULL);
+	g_timeout_add(RUN_TICK_MS, on_tick, NULL);
+	g_timeout_add(WORKER_HEARTBEAT_MS, on_heartbeat, NULL);
 	on_heartbeat(NULL);
 	g_main_loop_run(g_main_loop_new(NULL, FALSE));
 	return EXIT_SUCCESS;
