--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -163,7 +163,8 @@
 /*
  * Measures the cost of a configuration change, less the idle cost.  Each
  * change writes the complete document again.  Metrics are not read between
- * the changes, since answering these requests would add to the cost.
+ * the changes, since answering these requests would add to the cost;
+ * measure_change_time(), which polls them, makes changes of its own.
  */
 static void
 measure_change_cost(struct reading idle, double agents_idle_us_s)
--- a/bench/bench_system.c
+++ b/bench/bench_system.c
@@ -15,7 +15,7 @@
 
 #define JOBS_TIMEOUT_MS	   120000
 #define IDS_PER_REQUEST	   1000
-#define WARM_UP_SHARE	   0.1 /* of the jobs, without ratios, as in replay.c */
+#define WARM_UP_SHARE	   0.1 /* of the jobs, left out as in replay.c */
 #define SAMPLE_INTERVAL_MS 100
 #define OUTAGE_LOAD	   1.2 /* over capacity, so that workers never idle */
 #define OUTAGE_BEGIN_MS	   4000
@@ -345,7 +345,7 @@
 	finish_load();
 }
 
-/* Adds the starts that one endpoint counted to the starts of all. */
+/* Adds the starts that one endpoint has counted to the table of starts. */
 static void
 collect_starts(int agent)
 {
@@ -477,7 +477,7 @@
 
 /*
  * Kills the agents and endpoints of domain 0.  The agents are stopped before
- * the starts are read, so that no start follows that would not be counted.
+ * the starts are read, so that no later start is missed in the counts.
  */
 static void
 kill_domain(void)
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -8,7 +8,7 @@
 #define HEARTBEAT_US	   500000
 #define WARM_UP_SHARE	   0.1 /* share of jobs excluded from the results */
 #define SAMPLE_INTERVAL_US 1000000
-#define COLD_TASKS	   50.0 /* until a returned worker has full speed */
+#define COLD_TASKS	   50.0 /* run after a return until full speed */
 #define RETURN_WINDOW_US   10000000
 #define NO_TASK		   UINT32_MAX
 
@@ -63,7 +63,7 @@
 	uint32_t busy;
 	GQueue queue;
 	uint32_t received[MAX_ENTRIES];
-	double done_cold; /* tasks finished since the return */
+	double tasks_since_return;
 	bool cold;
 	bool away;
 };
@@ -295,7 +295,7 @@
 static double
 speed_factor(const struct sim *s, const struct agent *a)
 {
-	double done = MIN(a->done_cold / COLD_TASKS, 1);
+	double done = MIN(a->tasks_since_return / COLD_TASKS, 1);
 
 	return a->cold ? s->opts.cold + (1 - s->opts.cold) * done : 1;
 }
@@ -342,7 +342,7 @@
 	struct agent *a = &s->agents[ev->worker];
 
 	a->busy--;
-	a->done_cold++;
+	a->tasks_since_return++;
 	run_next(s, ev->worker);
 	send_report(s, ev->worker, entry_of(s, ev->index), ev->index);
 	report_at_once(s, ev->worker);
@@ -519,7 +519,7 @@
 	for (w = 0; w < WORKERS; w += DOMAINS) {
 		s->agents[w].away = leaves;
 		s->agents[w].cold = !leaves && s->opts.cold > 0;
-		s->agents[w].done_cold = 0;
+		s->agents[w].tasks_since_return = 0;
 		for (e = 0; e < s->opts.entries; e++) {
 			struct report report = report_of(s, w, e);
 
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -11,7 +11,7 @@
  * GET    /control/counts         counters since the process started
  * GET    /control/starts?job=ID  starts of the job's tasks
  * GET    /control/mode?...       injects faults; worker -1 means none:
- *   store=down|up  while down, the store answers 503 and no watches
+ *   store=down|up  while down, the store answers 503 and leaves watches open
  *   late=PERCENT   of the run-start and run-stop calls get no answer and are
  *                  executed 300 to 1500 ms later
  *   fail=N         all tasks of worker N fail
@@ -39,7 +39,7 @@
 #define LEASE_MAX_MS	    1000 /* longest lease granted by one call */
 #define WORKER_HEARTBEAT_MS 200
 #define RUN_TICK_MS	    5
-#define RUN_STOP_MS	    20
+#define RUN_STOP_MS	    20 /* from a run-stop call to the run's end */
 #define DEFERRED_MIN_MS	    300
 #define DEFERRED_MAX_MS	    1500
 #define INSTANCES	    "/sequoiaplank/instances/"
@@ -56,8 +56,8 @@
 
 struct worker {
 	int index;
-	guint app_port;
-	guint control_port;
+	guint app_port;	    /* serves the calls of a holder */
+	guint control_port; /* of the agent that heartbeats go to */
 	char *zone;
 	int64_t born_ms;       /* start of this incarnation, wall clock */
 	int64_t seq;	       /* of the last heartbeat */
