--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -1,7 +1,7 @@
 /*
  * Measures the CPU, memory and network costs of one entry and one agent with
- * real processes.  docs/CAPACITY.md explains the results, whose sections (a)
- * to (f) are named below.  The test harness runs at most 80 agents.
+ * real processes.  docs/CAPACITY.md explains the results.  The test harness
+ * runs at most 80 agents.
  */
 #include <argp.h>
 #include <stdio.h>
@@ -223,7 +223,7 @@
 	g_array_unref(in_force_ms);
 }
 
-/* (a), (d), (e): cost of one entry with 0, 10, 40 and 80 agents. */
+/* Measures the cost of one entry with 0, 10, 40 and 80 agents. */
 static void
 measure_entry_by_agents(void)
 {
@@ -254,7 +254,7 @@
 	hn_finish();
 }
 
-/* (a): cost of an agent with connections to 1, 2, 4 and 8 entries. */
+/* Measures the cost of an agent connected to 1, 2, 4 and 8 entries. */
 static void
 measure_agent_by_entries(void)
 {
@@ -368,7 +368,7 @@
 	require(bulk.failed == 0, "jobs failed");
 }
 
-/* (b): cost of starting tasks that do nothing. */
+/* Measures the cost of starting tasks that do nothing. */
 static void
 measure_start_cost(int n_jobs)
 {
@@ -397,7 +397,7 @@
 	report("B", used.bytes / starts, "start.entry_bytes");
 }
 
-/* (c): memory per record of a finished job and per queued task. */
+/* Measures the memory per record of a finished job and per queued task. */
 static void
 measure_memory(void)
 {
@@ -440,8 +440,8 @@
 }
 
 /*
- * (f): latency that the system adds to a direct call of the endpoint, for a
- * job of one task and for a request passed through to the service.
+ * Measures the latency that the system adds to a direct call of the endpoint,
+ * for a job of one task and for a request passed through to the service.
  */
 static void
 measure_added_latency(void)
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -74,9 +74,9 @@
 /* A call that is answered later: a store watch or a worker's hold. */
 struct pending_reply {
 	SoupServerMessage *msg;
-	char *prefix;  /* watch: of the keys */
-	int64_t after; /* watch: answered with later revisions */
-	int64_t until_ms;
+	char *prefix;	  /* watch: of the keys */
+	int64_t after;	  /* watch: answered with later revisions */
+	int64_t until_ms; /* answered then at the latest */
 };
 
 struct item {
