--- a/src/process/agent.c
+++ b/src/process/agent.c
@@ -17,13 +17,21 @@
 #include "version/fresh.h"
 
 #define AGENT_TICK_MS 100
-#define PAUSE_MIN_MS  500 /* ticks are delayed by less on a busy machine */
-/* A record is limited to 4 MB; the load and the call header need the rest. */
+/* Shorter delays of a tick occur on a busy machine and are not a pause. */
+#define PAUSE_MIN_MS 500
+/*
+ * Results in one RPC record, which is limited to 4 MB; the remainder is for the
+ * load and the call header.
+ */
 #define RESULTS_MESSAGE_MAX_BYTES 3145728
-#define MIN_RESULT_RECORDS	  4096
-#define MAX_UNACKED_RESULT_BYTES  33554432
-#define MAX_RECORDED_ENTRIES	  32
-/* Records of a disconnected entry in no member list are kept this long. */
+#define MIN_RESULT_RECORDS	  4096	   /* per entry; more if max_queue is */
+#define MAX_UNACKED_RESULT_BYTES  33554432 /* per entry */
+/* Above this, records of disconnected entries are dropped. */
+#define MAX_RECORDED_ENTRIES 32
+/*
+ * Records of an entry are dropped this long after it disconnected, unless a
+ * connected entry lists it as a member.
+ */
 #define ENDED_ENTRY_RETENTION_MS 60000
 
 struct agent {
@@ -38,7 +46,7 @@
 	struct ex *ex;
 	struct es *es;
 	struct lh *lh;
-	struct ann_state announced; /* state that entries were last sent */
+	struct ann_state announced; /* state in the last heartbeats */
 	char *announced_service;    /* owned copy of its service */
 	guint tick_id;
 	guint term_id;
@@ -269,9 +277,9 @@
 /* Classification of the entry incarnations that have records here. */
 struct entry_scan {
 	struct agent *agent;
-	GArray *unlisted; /* disconnected and in no member list */
-	GArray *expired;  /* those of them past the retention time */
-	bool ack_pending; /* another entry may still acknowledge results */
+	GArray *unlisted; /* disconnected, and listed by no connected entry */
+	GArray *expired;  /* unlisted ones past the retention time */
+	bool ack_pending; /* an entry not in unlisted has records */
 };
 
 static void
@@ -307,7 +315,10 @@
 	g_array_unref(scan->expired);
 }
 
-/* Returns queued starts of entries that ended; later drops their records. */
+/*
+ * Treats a disconnected entry as exited if no connected entry lists it: removes
+ * its queued starts, and after the retention time its records.
+ */
 static void
 drop_ended_entries(struct agent *agent)
 {
@@ -326,7 +337,8 @@
 
 /*
  * While draining, quits the main loop once no call is open and no connected or
- * listed entry has results to acknowledge, or at the drain deadline.
+ * listed entry has results to acknowledge, or at the drain deadline.  Without a
+ * connection to any entry, every entry counts as listed.
  */
 static void
 quit_if_drained(struct agent *agent)
--- a/src/process/counters.h
+++ b/src/process/counters.h
@@ -12,9 +12,9 @@
 
 /*
  * Return a pointer to the value of the counter or gauge with this name, which
- * is created on first use.  The caller only increases a counter and sets a
- * gauge freely.  The pointer is valid until the registry is freed.  name may
- * carry labels: "starts_total{outcome=\"done\"}".
+ * is created on first use.  The caller must never decrease a counter; a gauge
+ * may take any value.  The pointer is valid until the registry is freed.  name
+ * may carry labels: "starts_total{outcome=\"done\"}".
  */
 int64_t *ctr_counter(
     struct ctr_registry *reg, const char *name, const char *help);
--- a/src/process/enlist.c
+++ b/src/process/enlist.c
@@ -14,7 +14,7 @@
 	char *text; /* JSON that the registration should hold */
 	bool read;  /* the registration was read once */
 	bool writing;
-	bool dirty; /* text has changes that no write has begun for */
+	bool dirty; /* another write of text is needed */
 	guint retry_id;
 };
 
--- a/src/process/enlist.h
+++ b/src/process/enlist.h
@@ -14,14 +14,17 @@
 struct enl_options {
 	const struct ks *ks; /* borrowed */
 	const char *address; /* "ip:port" at which entries reach the agent */
-	/* The worker registered by an earlier process; valid in the call. */
+	/*
+	 * Called with the worker that an earlier process registered.  worker is
+	 * valid only during the call.
+	 */
 	void (*recalled)(const struct wp_worker *worker, void *ctx);
 	void *ctx;
 };
 
 /* Reads the registration, or writes one without a worker if there is none. */
 struct enl *enl_new(const struct enl_options *opts);
-/* Store calls in progress must not call back after this. */
+/* Stop the store client first, so that no call in progress calls back. */
 void enl_free(struct enl *enl);
 /* Registers the worker unless its description is unchanged. */
 void enl_update(struct enl *enl, const struct wp_worker *worker);
--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -16,20 +16,24 @@
 #include "version/etcd.h"
 #include "version/reader.h"
 
-#define DISPATCH_TICK_MS       20    /* deadlines and silent agents */
-#define HOUSEKEEPING_TICK_MS   200   /* expires jobs and agents, sets gauges */
-#define WITHDRAWAL_GRACE_MS    250   /* to withdraw starts of a failing job */
-#define LOST_AGENT_OUTCOME_MS  5000  /* its open starts become unknown */
-#define LOST_AGENT_REMOVE_MS   60000 /* its record is removed */
-#define UNDELIVERED_WAIT_MS    2000  /* for callers to fetch results */
+#define DISPATCH_TICK_MS     20	 /* deadlines and silent agents */
+#define HOUSEKEEPING_TICK_MS 200 /* expires jobs and agents, sets gauges */
+#define WITHDRAWAL_GRACE_MS  250 /* to withdraw starts of a failing job */
+/* Open starts get the outcome UNKNOWN this long after the agent disconnects. */
+#define LOST_AGENT_OUTCOME_MS 5000
+/* An agent disconnected for this long is removed. */
+#define LOST_AGENT_REMOVE_MS 60000
+/* Longest wait at shutdown for callers to fetch results of finished jobs. */
+#define UNDELIVERED_WAIT_MS    2000
 #define MAX_KNOWN_AGENTS       4096
 #define MAX_OUTSTANDING_STARTS 200000U
 #define MAX_WAITERS_PER_JOB    64
 #define MAX_HTTP_REQUESTS      20000
 #define MAX_JOB_BYTES	       (2ULL << 30) /* payloads and results */
-#define RETRY_PERCENT	       10
-#define RETRY_BURST	       100
-#define RETRY_ATTEMPTS	       3
+/* Budget for retries of starts with an unknown outcome. */
+#define RETRY_PERCENT	   10  /* of requests */
+#define RETRY_BURST	   100 /* retries saved up */
+#define RETRY_MAX_ATTEMPTS 3   /* of a task, with the first */
 
 struct entry {
 	const struct set_entry *set;
@@ -69,10 +73,10 @@
 	guint int_id;
 	/* shutdown */
 	bool shutting_down;
-	bool drained_in_time; /* no request was in progress at the end */
+	bool drained_in_time; /* no request was open at deregistration */
 	bool deregistering;
 	int64_t shutdown_ms;
-	int64_t drained_ms; /* no request in progress since; 0: some are */
+	int64_t drained_ms; /* when the last request ended; 0: some are open */
 	int64_t *jobs_gauge, *job_bytes_gauge, *version_gauge, *age_gauge;
 	int64_t *outstanding_gauge;
 };
@@ -418,7 +422,7 @@
 	struct rty_options retry = {
 	    .percent = RETRY_PERCENT,
 	    .burst = RETRY_BURST,
-	    .max_attempts = RETRY_ATTEMPTS,
+	    .max_attempts = RETRY_MAX_ATTEMPTS,
 	};
 	struct dsp_options dispatch = {
 	    .fresh = entry->fresh,
--- a/src/process/events.c
+++ b/src/process/events.c
@@ -72,7 +72,10 @@
 	return rate;
 }
 
-/* Ends a line that was written in part, so that the next one stays valid. */
+/*
+ * If only a part of the line could be written, adds a line break, so that the
+ * next line is valid JSON.
+ */
 static void
 write_line(const char *line, size_t len)
 {
--- a/src/process/executor.c
+++ b/src/process/executor.c
@@ -193,7 +193,7 @@
 	ex_run_queue(ex);
 }
 
-/* Calls the endpoint; now_ms is the time of the checks of the start. */
+/* Calls the endpoint for a task whose conditions were checked at now_ms. */
 static void
 call_endpoint(struct task *task, int64_t now_ms)
 {
--- a/src/process/executor.h
+++ b/src/process/executor.h
@@ -25,6 +25,7 @@
 struct ex_options {
 	const char *worker;
 	const char *failure_domain;
+	/* Tasks start only if the configuration was confirmed this recently. */
 	int64_t freshness_ms;
 	uint32_t max_queue;
 	uint64_t max_answer_bytes;
@@ -46,22 +47,23 @@
  * when there is no room left to record refusals: close the connection.
  */
 bool ex_start(struct ex *ex, uint64_t entry, struct wire_start_args *args);
-/* Returns the listed starts that are still queued as not started. */
+/* Gives the listed starts that are still queued the outcome NOT_STARTED. */
 void ex_withdraw(
     struct ex *ex, uint64_t entry, const struct wire_withdraw_args *args);
 /*
- * Refuses from now on every unrecorded start below args->next_seq, and fills
- * states with the state of each start in args->seqs.
+ * Refuses from now on every start below args->next_seq that was not received
+ * before.  Fills states with the state of each start in args->seqs.
  */
 void ex_query(struct ex *ex, uint64_t entry, const struct wire_query_args *args,
     wire_state *states);
-/* Returns all queued starts of an entry incarnation as not started. */
+/* Gives all queued starts of an entry incarnation the outcome NOT_STARTED. */
 void ex_return_queued(struct ex *ex, uint64_t entry);
-/* Returns the queued starts as not started and refuses new ones. */
+/* Gives all queued starts the outcome NOT_STARTED and refuses new ones. */
 void ex_drain(struct ex *ex);
 /*
- * Starts queued tasks while slots are free, and returns those that may not run
- * any more.  Call it whenever a condition of starts has changed.
+ * Starts queued tasks while slots are free, and gives those that may not run
+ * any more the outcome NOT_STARTED.  Call it when the configuration was changed
+ * or confirmed, and when the endpoint's announcement has changed.
  */
 void ex_run_queue(struct ex *ex);
 void ex_get_load(struct ex *ex, struct wire_load *load);
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -10,10 +10,11 @@
 #include "process/jobagent.h"
 #include "request/ledger.h"
 
-#define JA_TICK_MS	   50
-#define MAX_QUEUED_STARTS  4096
-#define RESULT_UPDATE_MS   4  /* batches results that arrive close together */
-#define CAPACITY_UPDATE_MS 15 /* for changes of free capacity only */
+#define JA_TICK_MS	  50
+#define MAX_QUEUED_STARTS 4096
+/* Delays of an update to the entries, which batch changes close together. */
+#define RESULT_UPDATE_MS   4
+#define CAPACITY_UPDATE_MS 15 /* without results */
 /* A heartbeat is answered if the last update was sent longer ago than this. */
 #define HEARTBEAT_REPLY_MS 200
 /*
@@ -558,8 +559,8 @@
 }
 
 /*
- * Serves the worker that this agent's store entry names.  Whether it is still
- * alive shows in its answers to the calls that follow.
+ * Serves the worker that this agent's registration in the store names.  If it
+ * has exited since, the calls to it will detect that.
  */
 static void
 on_recalled(const struct wp_worker *worker, void *ctx)
--- a/src/process/jobentry.c
+++ b/src/process/jobentry.c
@@ -22,9 +22,9 @@
 #define STORE_WATCH_MS 1500
 #define JE_MAX_JOBS    20000
 /*
- * Runs started over a lost connection end with the worker's lease, or when the
- * agent detects that the entry is silent, as in jobagent.c.  The margin is for
- * the stop call at the worker and one message in each direction.
+ * Runs of an agent whose connection was lost are taken as stopped when both the
+ * worker's lease and the silence limit of jobagent.c have passed, plus a margin
+ * for the stop call at the worker and one message in each direction.
  */
 #define ENTRY_SILENCE_MS   800
 #define STOP_MARGIN_MS	   300
@@ -70,7 +70,8 @@
 	uint64_t next_ticket;
 	int64_t tick_ms;
 	int64_t drain_since_ms;
-	int64_t idle_since_ms; /* draining, no job open since; 0: one is */
+	/* In a shutdown: time since which no job is open; 0 while one is. */
+	int64_t idle_since_ms;
 	bool draining;
 	bool drained;
 	guint tick_id;
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -54,9 +54,10 @@
 	const char *failure_domain;
 	const struct ks *ks;		      /* borrowed */
 	const struct je_store_layout *layout; /* borrowed */
-	double cross_rack_factor; /* of the run time off the preferred rack */
-	int64_t lease_ms;	  /* longest lease that a worker grants */
-	int64_t drain_ms;	  /* longest time of a graceful shutdown */
+	/* Estimated run time outside the preferred rack, relative to inside. */
+	double cross_rack_factor;
+	int64_t lease_ms;	       /* longest lease that a worker grants */
+	int64_t drain_ms;	       /* longest time of a graceful shutdown */
 	struct ctr_registry *counters; /* borrowed */
 	/* Runs once, when the first valid configuration was read. */
 	void (*configured)(void *ctx);
--- a/src/process/peering.h
+++ b/src/process/peering.h
@@ -28,8 +28,8 @@
 	struct chg *change;
 	struct mem *members;
 	struct api *api;
-	int64_t silence_ms;
-	int64_t status_ms; /* interval of configuration state exchanges */
+	int64_t silence_ms; /* closes connections without input for so long */
+	int64_t status_ms;  /* interval of configuration state exchanges */
 };
 
 struct peering *peering_new(const struct peering_options *opts);
@@ -37,7 +37,7 @@
 void peering_free(struct peering *pr);
 /* The set that takes accepted peer connections; owned by pr. */
 struct pl_set *peering_links(struct peering *pr);
-/* The registered entries in wire format; owned by pr. */
+/* The registered entries in wire format, owned by pr, and their digest. */
 const wire_member *peering_members(
     const struct peering *pr, size_t *n, uint64_t *digest);
 /* Call it when the list of registered entries has changed. */
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -21,12 +21,13 @@
 	char **peers; /* rpc seed addresses, NULL-terminated; may be empty */
 	char *log_level;
 	char *policy; /* placement policy, see docs/POLICY.md */
+	/* Tasks start only if the configuration was confirmed this recently. */
 	int64_t freshness_ms;
 	int64_t store_poll_ms;
 	int64_t members_poll_ms;
 	int64_t lease_s;
 	int64_t store_timeout_ms;
-	int64_t silence_ms;
+	int64_t silence_ms; /* closes connections without input for so long */
 	int64_t job_retention_s;
 	int64_t drain_timeout_ms;
 	uint32_t max_jobs;
@@ -47,9 +48,10 @@
 	char **entries; /* rpc seed addresses, NULL-terminated */
 	char *cluster_key;
 	char *log_level;
+	/* Tasks start only if the configuration was confirmed this recently. */
 	int64_t freshness_ms;
 	int64_t heartbeat_ms;
-	int64_t silence_ms;
+	int64_t silence_ms; /* closes connections without input for so long */
 	int64_t drain_timeout_ms;
 	uint32_t entry_connections;
 	uint32_t max_queue; /* starts queued for a slot */
@@ -72,8 +74,9 @@
 	char *store;	      /* "ip:port" */
 	int64_t lease_ms;     /* longest lease that a worker grants */
 	int64_t drain_ms;     /* longest time of a graceful shutdown */
-	int64_t cross_rack_percent; /* run time off the preferred rack */
-	uint32_t log_lines_per_s;   /* of each event type */
+	/* Estimated run time outside the preferred rack, relative to inside. */
+	int64_t cross_rack_percent;
+	uint32_t log_lines_per_s; /* of each event type */
 };
 
 /* NULL on error; st names the file, line, key and the expected value. */
--- a/src/process/status.h
+++ b/src/process/status.h
@@ -5,7 +5,7 @@
 enum st_code {
 	ST_OK = 0,
 	ST_INVALID,  /* malformed argument, settings or message */
-	ST_CONFLICT, /* a concurrent change won, or id reused for another body */
+	ST_CONFLICT, /* conflicts with current state or a concurrent change */
 	ST_NOT_FOUND,
 	ST_UNAVAILABLE, /* peer or store is unreachable */
 	ST_TIMEOUT,
--- a/src/process/trace.c
+++ b/src/process/trace.c
@@ -74,7 +74,7 @@
 	return strspn(s, "0") >= len;
 }
 
-/* By W3C Trace Context; versions above 00 may append fields. */
+/* Checks as W3C Trace Context requires; versions above 00 may append fields. */
 static bool
 is_valid_parent(const char *parent)
 {
