--- a/src/process/entry.c
+++ b/src/process/entry.c
@@ -16,7 +16,7 @@
 #include "version/etcd.h"
 #include "version/reader.h"
 
-#define DISPATCH_TICK_MS     20	 /* deadlines and silent agents */
+#define DISPATCH_TICK_MS     20	 /* deadlines, ends of pauses of agents */
 #define HOUSEKEEPING_TICK_MS 200 /* expires jobs and agents, sets gauges */
 #define WITHDRAWAL_GRACE_MS  250 /* to withdraw starts of a failing job */
 /* Open starts get the outcome UNKNOWN this long after the agent disconnects. */
--- a/src/process/executor.h
+++ b/src/process/executor.h
@@ -47,7 +47,10 @@
  * when there is no room left to record refusals: close the connection.
  */
 bool ex_start(struct ex *ex, uint64_t entry, struct wire_start_args *args);
-/* Gives the listed starts that are still queued the outcome NOT_STARTED. */
+/*
+ * Gives the listed starts that are still queued the outcome NOT_STARTED.
+ * Running ones continue.
+ */
 void ex_withdraw(
     struct ex *ex, uint64_t entry, const struct wire_withdraw_args *args);
 /*
--- a/src/process/jobentry.h
+++ b/src/process/jobentry.h
@@ -54,7 +54,10 @@
 	const char *failure_domain;
 	const struct ks *ks;		      /* borrowed */
 	const struct je_store_layout *layout; /* borrowed */
-	/* Estimated run time outside the preferred rack, relative to inside. */
+	/*
+	 * Run time assumed outside the preferred rack, where a task's data is,
+	 * as a multiple of the run time inside it.
+	 */
 	double cross_rack_factor;
 	int64_t lease_ms;	       /* longest lease that a worker grants */
 	int64_t drain_ms;	       /* longest time of a graceful shutdown */
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -74,7 +74,10 @@
 	char *store;	      /* "ip:port" */
 	int64_t lease_ms;     /* longest lease that a worker grants */
 	int64_t drain_ms;     /* longest time of a graceful shutdown */
-	/* Estimated run time outside the preferred rack, relative to inside. */
+	/*
+	 * Run time assumed outside the preferred rack, where a task's data is,
+	 * in percent of the run time inside it.
+	 */
 	int64_t cross_rack_percent;
 	uint32_t log_lines_per_s; /* of each event type */
 };
