--- a/tests/casefile.c
+++ b/tests/casefile.c
@@ -9,22 +9,23 @@
 {
 	struct text_case tc = {0};
 	const char *newline = strchr(block, '\n');
-	const char *mark;
+	const char *separator;
 
 	if (newline == NULL)
-		g_error("case without a body: %s", block);
-	mark = strstr(newline, "\n--- expected\n");
-	if (mark == NULL)
-		g_error("case without \"--- expected\": %s", block);
+		g_error("case has no line after its name: %s", block);
+	separator = strstr(newline, "\n--- expected\n");
+	if (separator == NULL)
+		g_error("case has no \"--- expected\" line: %s", block);
 	tc.name = g_strndup(block, (gsize)(newline - block));
-	tc.input = mark == newline
+	tc.input = separator == newline
 		       ? g_strdup("")
-		       : g_strndup(newline + 1, (gsize)(mark - newline));
-	tc.expected = g_strchomp(g_strdup(mark + strlen("\n--- expected\n")));
+		       : g_strndup(newline + 1, (gsize)(separator - newline));
+	tc.expected =
+	    g_strchomp(g_strdup(separator + strlen("\n--- expected\n")));
 	g_array_append_val(cases, tc);
 }
 
-/* Loads a file, of which everything before the first case is a comment. */
+/* Loads all cases; text before the first "=== " line is ignored. */
 struct text_case *
 casefile_load(const char *path, size_t *n)
 {
--- a/tests/casefile.h
+++ b/tests/casefile.h
@@ -4,7 +4,7 @@
 #include <stddef.h>
 
 /*
- * Plain-text cases.  A case is
+ * A file of plain-text test cases.  Each case has the form
  *   === name
  *   input lines
  *   --- expected
@@ -13,7 +13,7 @@
 struct text_case {
 	char *name;
 	char *input;
-	char *expected; /* without the last newline */
+	char *expected; /* without trailing white space */
 };
 
 struct text_case *casefile_load(const char *path, size_t *n);
--- a/tests/deployment.c
+++ b/tests/deployment.c
@@ -78,9 +78,9 @@
 	return http->status == 200;
 }
 
-/* The port at the far end of a path. */
+/* Returns the server's port that a path leads to; 0 if there is none. */
 static uint16_t
-target_of(const struct dpl *dpl, enum dpl_path path, int index)
+path_target_port(const struct dpl *dpl, enum dpl_path path, int index)
 {
 	switch (path) {
 	case DPL_CLIENTS_ENTRY:
@@ -97,7 +97,7 @@
 }
 
 static void
-make_ports(struct dpl *dpl, bool proxied)
+assign_ports(struct dpl *dpl, bool proxied)
 {
 	int i, p;
 
@@ -109,7 +109,7 @@
 	for (p = 0; p < DPL_N_PATHS; p++) {
 		for (i = 0; i < DPL_AGENTS; i++)
 			dpl->path[p][i] =
-			    proxied ? hn_port() : target_of(dpl, p, i);
+			    proxied ? hn_port() : path_target_port(dpl, p, i);
 	}
 }
 
@@ -123,9 +123,9 @@
 	argv[n++] = hn_str("%u", dpl->proxy_port);
 	for (p = 0; p < DPL_N_PATHS; p++) {
 		for (i = 0; i < DPL_AGENTS; i++) {
-			if (target_of(dpl, p, i) != 0)
+			if (path_target_port(dpl, p, i) != 0)
 				argv[n++] = hn_str("%u=%u", dpl->path[p][i],
-				    target_of(dpl, p, i));
+				    path_target_port(dpl, p, i));
 		}
 	}
 	dpl->proxy = hn_start("fault_proxy", argv);
@@ -139,7 +139,7 @@
 	int i, n = 1;
 
 	memset(dpl, 0, sizeof(*dpl));
-	make_ports(dpl, opts->proxied);
+	assign_ports(dpl, opts->proxied);
 	if (opts->proxied)
 		start_proxy(dpl);
 	argv[n++] = "--store";
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -15,7 +15,7 @@
 #include "harness.h"
 #include "process/clock.h"
 
-/* Below the range from which the kernel takes ports for outgoing calls. */
+/* Below the kernel's range of ephemeral ports for outgoing connections. */
 #define PORT_FIRST 12000
 #define PORT_LAST  32000
 
@@ -35,14 +35,14 @@
 	int64_t start_ms;
 };
 
-static char *dir;
+static char *run_dir;
 static GPtrArray *procs;
 static GPtrArray *strings;
 static GPtrArray *exchanges;
 static SoupSession *session;
 
 static void
-fail(const char *what, const char *why)
+abort_test(const char *what, const char *why)
 {
 	fprintf(stderr, "harness: %s: %s\n", what, why);
 	abort();
@@ -57,13 +57,13 @@
 }
 
 static void
-init(void)
+init_harness(void)
 {
-	if (dir != NULL)
+	if (run_dir != NULL)
 		return;
-	dir = g_build_filename(build_dir(), "run-XXXXXX", NULL);
-	if (g_mkdtemp(dir) == NULL)
-		fail(dir, g_strerror(errno));
+	run_dir = g_build_filename(build_dir(), "run-XXXXXX", NULL);
+	if (g_mkdtemp(run_dir) == NULL)
+		abort_test(run_dir, g_strerror(errno));
 	procs = g_ptr_array_new();
 	strings = g_ptr_array_new_with_free_func(g_free);
 	exchanges = g_ptr_array_new();
@@ -71,22 +71,22 @@
 	    1000, "max-conns-per-host", 1000, NULL);
 }
 
-/* Returns the directory of this test's files. */
+/* Creates the directory on first use. */
 const char *
 hn_dir(void)
 {
-	init();
-	return dir;
+	init_harness();
+	return run_dir;
 }
 
-/* Formats a string that lives until hn_finish(). */
+/* The string is freed by hn_finish(). */
 const char *
 hn_str(const char *fmt, ...)
 {
 	va_list ap;
 	char *s;
 
-	init();
+	init_harness();
 	va_start(ap, fmt);
 	s = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
@@ -94,19 +94,18 @@
 	return s;
 }
 
-/* Writes a file of this test and returns its path. */
 const char *
 hn_write(const char *name, const char *text)
 {
 	const char *path = hn_str("%s/%s", hn_dir(), name);
 
 	if (!g_file_set_contents(path, text, -1, NULL))
-		fail(path, "not written");
+		abort_test(path, "cannot write the file");
 	return path;
 }
 
 static bool
-is_free(uint16_t port)
+port_is_free(uint16_t port)
 {
 	struct sockaddr_in addr = {.sin_family = AF_INET,
 	    .sin_port = htons(port),
@@ -121,9 +120,9 @@
 }
 
 /*
- * Returns a port that was not given out before, until all were.  The last one
- * is kept in a file shared by all build directories, since tests of several
- * may run at once.
+ * Allocates ports in ascending order and wraps around at PORT_LAST.  The last
+ * allocated port is kept in a file shared by all build directories, since tests
+ * of several build directories may run at the same time.
  */
 uint16_t
 hn_port(void)
@@ -134,21 +133,21 @@
 	uint16_t port = 0;
 
 	if (fd < 0 || flock(fd, LOCK_EX) != 0)
-		fail(path, g_strerror(errno));
+		abort_test(path, g_strerror(errno));
 	if (pread(fd, &port, sizeof(port), 0) != sizeof(port))
 		port = PORT_FIRST;
 	do {
 		port = port < PORT_FIRST || port >= PORT_LAST ? PORT_FIRST
 							      : port + 1;
-	} while (!is_free(port));
+	} while (!port_is_free(port));
 	if (pwrite(fd, &port, sizeof(port), 0) != sizeof(port))
-		fail(path, g_strerror(errno));
+		abort_test(path, g_strerror(errno));
 	close(fd);
 	g_free(path);
 	return port;
 }
 
-/* Ends the process when the test process dies in whatever way. */
+/* Makes the kernel kill the child when the test process dies for any reason. */
 static void
 die_with_parent(gpointer data)
 {
@@ -156,7 +155,6 @@
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* Starts a process again with its arguments; it must have ended. */
 void
 hn_restart(struct hn_proc *proc)
 {
@@ -167,7 +165,8 @@
 	    open(proc->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
 	if (proc->pid != 0 || fd < 0)
-		fail(proc->name, "restarted while it runs, or no log");
+		abort_test(proc->name,
+		    "still running, or its log file cannot be opened");
 	g_subprocess_launcher_take_stderr_fd(launcher, fd);
 	g_subprocess_launcher_take_stdout_fd(launcher, dup(fd));
 	g_subprocess_launcher_set_child_setup(
@@ -176,20 +175,20 @@
 	proc->sub = g_subprocess_launcher_spawnv(
 	    launcher, (const char *const *)proc->argv, &error);
 	if (proc->sub == NULL)
-		fail(proc->name, error->message);
+		abort_test(proc->name, error->message);
 	g_object_unref(launcher);
 	proc->pid = (pid_t)atoi(g_subprocess_get_identifier(proc->sub));
 }
 
-/* Starts a program of the build directory; name is that of its log. */
+/* Output goes to NAME.log in hn_dir(). */
 struct hn_proc *
 hn_start(const char *name, const char *const argv[])
 {
 	struct hn_proc *proc = g_new0(struct hn_proc, 1);
 
-	init();
+	init_harness();
 	proc->name = g_strdup(name);
-	proc->log = g_strdup_printf("%s/%s.log", dir, name);
+	proc->log = g_strdup_printf("%s/%s.log", run_dir, name);
 	proc->argv = g_strdupv((char **)argv);
 	g_free(proc->argv[0]);
 	proc->argv[0] = g_build_filename(build_dir(), argv[0], NULL);
@@ -198,14 +197,13 @@
 	return proc;
 }
 
-/* Returns the process id, or 0 once the process has been waited for. */
 pid_t
 hn_pid(const struct hn_proc *proc)
 {
 	return proc->pid;
 }
 
-/* Sends a signal to the process, unless it has been waited for. */
+/* Does nothing once the exit status was collected: the id may be reused. */
 void
 hn_signal(struct hn_proc *proc, int signo)
 {
@@ -213,7 +211,6 @@
 		kill(proc->pid, signo);
 }
 
-/* Waits for the end; see the header for the result. */
 int
 hn_wait_exit(struct hn_proc *proc, int64_t limit_ms)
 {
@@ -231,7 +228,6 @@
 	return status;
 }
 
-/* Kills the process and waits for its end. */
 void
 hn_kill(struct hn_proc *proc)
 {
@@ -239,7 +235,6 @@
 	hn_wait_exit(proc, HN_LIMIT_MS);
 }
 
-/* Reports whether the log contains the text. */
 bool
 hn_log_contains(const struct hn_proc *proc, const char *text)
 {
@@ -265,22 +260,22 @@
 static void
 remove_dir(void)
 {
-	GDir *d = g_dir_open(dir, 0, NULL);
+	GDir *d = g_dir_open(run_dir, 0, NULL);
 	const char *name;
 
 	while (d != NULL && (name = g_dir_read_name(d)) != NULL) {
-		char *path = g_build_filename(dir, name, NULL);
+		char *path = g_build_filename(run_dir, name, NULL);
 
 		g_unlink(path);
 		g_free(path);
 	}
 	if (d != NULL)
 		g_dir_close(d);
-	g_rmdir(dir);
+	g_rmdir(run_dir);
 }
 
 static bool
-all_done(void)
+all_exchanges_done(void)
 {
 	guint i;
 
@@ -291,19 +286,19 @@
 	return true;
 }
 
-/* Ends every process and frees everything that the harness owns. */
+/* Cancels open exchanges, kills every process and frees all memory. */
 void
 hn_finish(void)
 {
 	guint i;
 
-	if (dir == NULL)
+	if (run_dir == NULL)
 		return;
 	for (i = 0; i < exchanges->len; i++)
 		hn_http_cancel(exchanges->pdata[i]);
 	for (i = 0; i < procs->len; i++)
 		hn_kill(procs->pdata[i]);
-	hn_wait_until(all_done(), HN_LIMIT_MS);
+	hn_wait_until(all_exchanges_done(), HN_LIMIT_MS);
 	for (i = 0; i < procs->len; i++) {
 		struct hn_proc *proc = procs->pdata[i];
 
@@ -320,10 +315,10 @@
 	g_ptr_array_unref(strings);
 	g_clear_object(&session);
 	remove_dir();
-	g_clear_pointer(&dir, g_free);
+	g_clear_pointer(&run_dir, g_free);
 }
 
-/* Returns the clock that hn_wait_until() uses. */
+/* Monotonic clock that hn_wait_until() uses. */
 int64_t
 hn_now_ms(void)
 {
@@ -331,25 +326,25 @@
 }
 
 static gboolean
-on_slept(gpointer data)
+on_sleep_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs the main loop, so that exchanges proceed meanwhile. */
+/* Runs the main loop, so that HTTP exchanges proceed during the sleep. */
 void
 hn_sleep(int64_t ms)
 {
-	bool over = false;
+	bool expired = false;
 
-	g_timeout_add(ms, on_slept, &over);
-	while (!over)
+	g_timeout_add(ms, on_sleep_timeout, &expired);
+	while (!expired)
 		g_main_context_iteration(NULL, TRUE);
 }
 
 static void
-on_answer(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
 	struct exchange *ex = data;
 	struct hn_http *http = &ex->public;
@@ -374,7 +369,6 @@
 	http->done = true;
 }
 
-/* Starts a request on a connection of its own. */
 struct hn_http *
 hn_http_start(const char *method, const char *url, const char *const headers[],
     const char *body)
@@ -383,13 +377,13 @@
 	GBytes *bytes;
 	char **field;
 
-	init();
+	init_harness();
 	ex->start_ms = clk_now_ms();
 	ex->cancel = g_cancellable_new();
 	ex->msg = soup_message_new(method, url);
 	if (ex->msg == NULL)
-		fail(url, "invalid URL");
-	/* A reused connection may make libsoup send a request again. */
+		abort_test(url, "invalid URL");
+	/* libsoup may resend a request when a reused connection fails. */
 	soup_message_add_flags(ex->msg, SOUP_MESSAGE_NEW_CONNECTION);
 	soup_message_headers_append(
 	    soup_message_get_request_headers(ex->msg), "Connection", "close");
@@ -408,11 +402,11 @@
 	}
 	g_ptr_array_add(exchanges, ex);
 	soup_session_send_and_read_async(
-	    session, ex->msg, G_PRIORITY_DEFAULT, ex->cancel, on_answer, ex);
+	    session, ex->msg, G_PRIORITY_DEFAULT, ex->cancel, on_response, ex);
 	return &ex->public;
 }
 
-/* Gives up a request; a finished one is left as it is. */
+/* Does nothing when the exchange has finished. */
 void
 hn_http_cancel(struct hn_http *http)
 {
@@ -420,7 +414,7 @@
 		g_cancellable_cancel(((struct exchange *)http)->cancel);
 }
 
-/* Waits for the answer; on the limit gives up and returns status 0. */
+/* Cancels the exchange on time-out, which leaves its status at 0. */
 struct hn_http *
 hn_http_wait(struct hn_http *http, int64_t limit_ms)
 {
@@ -431,7 +425,6 @@
 	return http;
 }
 
-/* Sends a request and waits for its answer. */
 struct hn_http *
 hn_http(const char *method, const char *url, const char *body)
 {
@@ -440,7 +433,7 @@
 }
 
 static struct json_object *
-find(const struct hn_http *http, const char *path)
+find_member(const struct hn_http *http, const char *path)
 {
 	struct json_object *obj = http->json;
 	char **keys = g_strsplit(path, ".", -1);
@@ -456,20 +449,18 @@
 	return obj;
 }
 
-/* Returns the string at the path of a JSON answer. */
 const char *
 hn_json_str(const struct hn_http *http, const char *path)
 {
-	struct json_object *obj = find(http, path);
+	struct json_object *obj = find_member(http, path);
 
 	return obj != NULL ? json_object_get_string(obj) : "";
 }
 
-/* Returns the integer at the path of a JSON answer. */
 int64_t
 hn_json_int(const struct hn_http *http, const char *path)
 {
-	struct json_object *obj = find(http, path);
+	struct json_object *obj = find_member(http, path);
 
 	return obj != NULL ? json_object_get_int64(obj) : -1;
 }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -9,12 +9,12 @@
 /*
  * Runs the programs of the build directory (environment variable BUILD_DIR,
  * default "build") as real processes for one test.  Settings and logs go to
- * a directory below it that is kept only when the test fails.  Every process
- * ends with the test, also when the test is killed.  Failures of the harness
- * itself abort the test.
+ * a directory below it that is kept only when the test fails.  All processes
+ * are killed when the test process exits, even when it is killed itself.
+ * Failures of the harness itself abort the test.
  */
 
-/* Generous limit for an event that must happen; not a measured figure. */
+/* Generous time-out for events that must happen. */
 #define HN_LIMIT_MS 30000LL
 
 /* A process that the harness started. */
@@ -22,30 +22,39 @@
 
 /* Starts a program of the build directory; argv ends with NULL. */
 struct hn_proc *hn_start(const char *name, const char *const argv[]);
-/* Starts it again with the same arguments, after it has ended. */
+/* Starts it again with the same arguments; it must have been waited for. */
 void hn_restart(struct hn_proc *proc);
-pid_t hn_pid(const struct hn_proc *proc); /* 0 after the end */
+pid_t hn_pid(const struct hn_proc *proc); /* 0 once waited for */
 void hn_signal(struct hn_proc *proc, int signo);
-/* SIGKILL and wait. */
+/* Sends SIGKILL and waits for the exit. */
 void hn_kill(struct hn_proc *proc);
-/* Returns the exit status, 128 + signal, or -1 when it still runs. */
+/*
+ * Returns the exit status, 128 + signal number, or -1 when the process still
+ * runs after limit_ms or was waited for before.
+ */
 int hn_wait_exit(struct hn_proc *proc, int64_t limit_ms);
-/* Whether the process's log contains the text; never a basis of a verdict. */
+/*
+ * Returns true if the process's log contains the text.  Tests must not decide
+ * pass or fail by it, since log texts may change.
+ */
 bool hn_log_contains(const struct hn_proc *proc, const char *text);
 
-/* A port of 127.0.0.1 that no other test of this machine was given. */
+/*
+ * Allocates a free port of 127.0.0.1.  Concurrent tests of one user get
+ * different ports.
+ */
 uint16_t hn_port(void);
 const char *hn_dir(void);
 /* Writes a file in hn_dir() and returns its path; the harness owns it. */
 const char *hn_write(const char *name, const char *text);
-/* printf into a string that the harness owns. */
+/* Formats like printf() into a string that the harness owns. */
 const char *hn_str(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
-/* Ends everything and removes hn_dir(); call at the end of a passed test. */
+/* Kills all processes and removes hn_dir(); call at the end of a passed test. */
 void hn_finish(void);
 
-/* Runs the main loop for a time. */
+/* Runs the main loop for ms milliseconds. */
 void hn_sleep(int64_t ms);
-/* Runs the main loop until expr is true; false when the limit passed. */
+/* Runs the main loop until expr is true; evaluates to false on time-out. */
 #define hn_wait_until(expr, limit_ms)                                          \
 	({                                                                     \
 		int64_t hn_end_ = hn_now_ms() + (limit_ms), hn_step_ = 1;      \
@@ -61,23 +70,26 @@
 /* An HTTP exchange in progress or finished; the harness owns it. */
 struct hn_http {
 	bool done;
-	int status; /* 0: no whole answer */
+	int status; /* 0: no complete response */
 	const char *body;
 	size_t len;
-	struct json_object *json; /* NULL when the body is none */
+	struct json_object *json; /* NULL when the body is not JSON */
 	int64_t took_ms;
 };
 
 /* headers: "Name: value" strings, NULL-terminated, or NULL. */
 struct hn_http *hn_http_start(const char *method, const char *url,
     const char *const headers[], const char *body);
-/* Gives up an exchange: closes its connection. */
+/* Cancels an exchange by closing its connection. */
 void hn_http_cancel(struct hn_http *http);
 struct hn_http *hn_http_wait(struct hn_http *http, int64_t limit_ms);
-/* Starts and waits; the connection is new and never reused. */
+/* Starts an exchange on a new connection, never reused, and waits for it. */
 struct hn_http *hn_http(const char *method, const char *url, const char *body);
 
-/* Members of an answer; the path is "a.b.0.c".  "" or -1 when missing. */
+/*
+ * Return the member of a JSON response at a path such as "a.b.0.c", or "" or -1
+ * when it is missing.
+ */
 const char *hn_json_str(const struct hn_http *http, const char *path);
 int64_t hn_json_int(const struct hn_http *http, const char *path);
 
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -24,14 +24,14 @@
 	return error;
 }
 
-/* Runs the case of that index, or all with -1. */
+/* Runs the case with the index, or all cases when it is -1. */
 static char *
 replay_lines(
-    const char *path, char **lines, const struct replay *replay, int only)
+    const char *path, char **lines, const struct replay *replay, int only_index)
 {
-	char *error = NULL, *where;
+	char *error = NULL, *located_error;
 	void *ctx = NULL;
-	int i, ran = 0, index = -1;
+	int i, n_commands = 0, index = -1;
 
 	for (i = 0; lines[i] != NULL && error == NULL; i++) {
 		g_strstrip(lines[i]);
@@ -41,8 +41,9 @@
 			if (ctx != NULL)
 				replay->end(ctx);
 			index++;
-			ctx =
-			    only < 0 || only == index ? replay->start() : NULL;
+			ctx = only_index < 0 || only_index == index
+				  ? replay->start()
+				  : NULL;
 			continue;
 		}
 		if (index < 0)
@@ -50,29 +51,28 @@
 		if (ctx == NULL)
 			continue;
 		error = replay_line(replay, ctx, lines[i]);
-		ran++;
+		n_commands++;
 	}
 	if (ctx != NULL)
 		replay->end(ctx);
-	if (error == NULL && ran == 0)
-		error = g_strdup("no command in a case");
+	if (error == NULL && n_commands == 0)
+		error = g_strdup("no command was run");
 	if (error == NULL)
 		return NULL;
-	where = g_strdup_printf("%s:%d: %s", path, i, error);
+	located_error = g_strdup_printf("%s:%d: %s", path, i, error);
 	g_free(error);
-	return where;
+	return located_error;
 }
 
-/* Runs one case of the file; see the header for the result. */
 char *
-replay_case(const char *path, const struct replay *replay, int only)
+replay_case(const char *path, const struct replay *replay, int only_index)
 {
 	char *text, **lines, *error;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
-		return g_strdup_printf("%s can't be read", path);
+		return g_strdup_printf("cannot read %s", path);
 	lines = g_strsplit(text, "\n", -1);
-	error = replay_lines(path, lines, replay, only);
+	error = replay_lines(path, lines, replay, only_index);
 	g_strfreev(lines);
 	g_free(text);
 	return error;
@@ -84,7 +84,7 @@
 	return replay_case(path, replay, -1);
 }
 
-/* Counts the cases of a file. */
+/* Counts "case " lines after the first line, which is a comment. */
 int
 replay_count(const char *path)
 {
@@ -92,7 +92,7 @@
 	int n = 0;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
-		g_error("%s can't be read", path);
+		g_error("cannot read %s", path);
 	for (at = text; at != NULL; at = strstr(at + 1, "\ncase "))
 		n++;
 	g_free(text);
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -12,8 +12,9 @@
 #include "replay.h"
 
 /*
- * For programs that bound the memory of processes: the address sanitizer keeps
- * up to 256 MB of freed memory in each, which would count as held.
+ * For tests that limit the resident memory of processes: AddressSanitizer keeps
+ * up to 256 MB of freed memory per process in quarantine, which would count as
+ * resident.
  */
 static inline void
 limit_quarantine(void)
@@ -50,8 +51,8 @@
 	return run_tcase(name, tc, limit_s);
 }
 
-/* Rows of a table that run at once; most of their time they wait. */
-#define TABLE_JOBS 4
+/* Parallel processes for the rows of a table; the rows mostly sleep. */
+#define TABLE_PROCESSES 4
 
 static inline int
 run_rows(const char *name, const TTest *test, int first, int n, int step,
@@ -72,27 +73,28 @@
 static inline int
 run_table(const char *name, const TTest *test, int n, double limit_s)
 {
-	const char *only = getenv("SCENARIO");
-	pid_t jobs[TABLE_JOBS];
-	int i, status, red = 0;
+	const char *scenario = getenv("SCENARIO");
+	pid_t children[TABLE_PROCESSES];
+	int i, status, exit_code = 0;
 
-	if (only != NULL)
-		return run_rows(name, test, atoi(only), n, n, limit_s);
+	if (scenario != NULL)
+		return run_rows(name, test, atoi(scenario), n, n, limit_s);
 	fflush(stdout);
-	for (i = 0; i < TABLE_JOBS; i++) {
-		jobs[i] = fork();
-		if (jobs[i] == 0)
-			exit(run_rows(name, test, i, n, TABLE_JOBS, limit_s));
+	for (i = 0; i < TABLE_PROCESSES; i++) {
+		children[i] = fork();
+		if (children[i] == 0)
+			exit(run_rows(
+			    name, test, i, n, TABLE_PROCESSES, limit_s));
 	}
-	for (i = 0; i < TABLE_JOBS; i++) {
-		if (jobs[i] < 0 || waitpid(jobs[i], &status, 0) < 0 ||
+	for (i = 0; i < TABLE_PROCESSES; i++) {
+		if (children[i] < 0 || waitpid(children[i], &status, 0) < 0 ||
 		    status != 0)
-			red = EXIT_FAILURE;
+			exit_code = EXIT_FAILURE;
 	}
-	return red;
+	return exit_code;
 }
 
-/* Defines main() for the tests named; limit_s 0 keeps check's default. */
+/* Defines main() for the listed tests; limit_s 0 keeps check's default. */
 #define TEST_MAIN(name, limit_s, ...)                                          \
 	int main(void)                                                         \
 	{                                                                      \
@@ -102,7 +104,7 @@
 		    name, tests, sizeof(tests) / sizeof(tests[0]), limit_s);   \
 	}
 
-/* The tests, then the first once for each row, with its index in _i. */
+/* Runs tests[0] once for each row, with its index in _i, then the others. */
 static inline int
 run_with_rows(const char *name, const TTest *const *tests, size_t n_tests,
     int n_rows, double limit_s)
@@ -116,7 +118,7 @@
 	return run_tcase(name, tc, limit_s);
 }
 
-/* Defines main() for a test of n_rows rows and the tests named. */
+/* Defines main(): the first listed test runs once for each row. */
 #define ROWS_MAIN(name, limit_s, n_rows, ...)                                  \
 	int main(void)                                                         \
 	{                                                                      \
@@ -128,7 +130,7 @@
 
 /*
  * Defines main() for the traces of tests/cases/NAME.txt, one test for each
- * case, and the tests named.  The functions are those of struct replay.
+ * case, and the listed tests.  start, end and step go into struct replay.
  */
 #define REPLAY_MAIN(name, limit_s, start, end, step, ...)                      \
 	START_TEST(one_case)                                                   \
@@ -145,7 +147,7 @@
 
 /*
  * Defines main() for the text cases of tests/cases/NAME.txt, one test each,
- * and the tests named.  run(name, input) returns what the case gave, to be
+ * and the listed tests.  run(name, input) returns the actual output, to be
  * freed with g_free().
  */
 #define CASES_MAIN(suite, run, ...)                                            \
--- a/tests/system.c
+++ b/tests/system.c
@@ -5,12 +5,12 @@
 
 #include "system.h"
 
-#define KEY	     "test-cluster-key"
-#define LOAD_IDS     1000 /* of one request, and so the most jobs of a load */
-#define LOAD_POLL_MS 5
+#define CLUSTER_KEY   "test-cluster-key"
+#define LOAD_MAX_JOBS 1000 /* the most ids that one request returns */
+#define LOAD_POLL_MS  5
 
 static void
-expect(bool ok, const char *what)
+require(bool ok, const char *what)
 {
 	if (ok)
 		return;
@@ -38,34 +38,31 @@
 	    "http://127.0.0.1:%u%s", sys->entry[entry].operators, path);
 }
 
-/* Changes the faults of the proxy; an unknown rule aborts the test. */
 void
 sys_rule(struct sys *sys, uint16_t pair, const char *query)
 {
 	const char *url = hn_str(
 	    "http://127.0.0.1:%u/?pair=%u&%s", sys->proxy_control, pair, query);
 
-	expect(hn_http("POST", url, "")->status == 200, query);
+	require(hn_http("POST", url, "")->status == 200, query);
 }
 
-/* Sends a control request to the store stand-in. */
 void
 sys_store(struct sys *sys, const char *control)
 {
 	const char *url = hn_str(
 	    "http://127.0.0.1:%u/control/%s", sys->store_control, control);
 
-	expect(hn_http("POST", url, "")->status == 200, control);
+	require(hn_http("POST", url, "")->status == 200, control);
 }
 
-/* Changes how an endpoint behaves. */
 void
 sys_mode(struct sys *sys, int agent, const char *query)
 {
 	const char *url = hn_str("http://127.0.0.1:%u/control/mode?%s",
 	    sys->agent[agent].endpoint_port, query);
 
-	expect(hn_http("GET", url, NULL)->status == 200, query);
+	require(hn_http("GET", url, NULL)->status == 200, query);
 }
 
 static void
@@ -94,21 +91,21 @@
 	}
 	if (!sys->opts.direct) {
 		sys->proxy = hn_start("proxy", argv);
-		expect(hn_wait_until(hn_http("GET",
-					 hn_str("http://127.0.0.1:%u/",
-					     sys->proxy_control),
-					 NULL)
-					     ->status == 200,
-			   HN_LIMIT_MS),
-		    "the proxy did not start");
+		require(hn_wait_until(hn_http("GET",
+					  hn_str("http://127.0.0.1:%u/",
+					      sys->proxy_control),
+					  NULL)
+					      ->status == 200,
+			    HN_LIMIT_MS),
+		    "the fault proxy did not answer its control port in time");
 	}
-	expect(hn_wait_until(hn_http("GET",
-				 hn_str("http://127.0.0.1:%u/control/counts",
-				     sys->store_control),
-				 NULL)
-				     ->status == 200,
-		   HN_LIMIT_MS),
-	    "the store did not start");
+	require(hn_wait_until(hn_http("GET",
+				  hn_str("http://127.0.0.1:%u/control/counts",
+				      sys->store_control),
+				  NULL)
+				      ->status == 200,
+		    HN_LIMIT_MS),
+	    "standin_store did not answer its control port in time");
 }
 
 static void
@@ -123,7 +120,7 @@
 		   "\"rpc_listen\":\"127.0.0.1:%u\","
 		   "\"rpc_address\":\"127.0.0.1:%u\","
 		   "\"store\":\"http://127.0.0.1:%u\","
-		   "\"cluster_key\":\"" KEY "\"%s}\n",
+		   "\"cluster_key\":\"" CLUSTER_KEY "\"%s}\n",
 		e->name, e->domain, e->listen, e->operators, e->rpc, e->far_rpc,
 		e->far_store, extra != NULL ? extra : ""));
 
@@ -132,7 +129,7 @@
 }
 
 static const char *
-seeds(struct sys *sys)
+entry_addresses(struct sys *sys)
 {
 	const char *list = "";
 	int i;
@@ -156,8 +153,8 @@
 	path = hn_write(hn_str("%s.json", a->name),
 	    hn_str("{\"worker\":\"%s\",\"failure_domain\":\"%s\","
 		   "\"listen\":\"127.0.0.1:%u\",\"entries\":[%s],"
-		   "\"cluster_key\":\"" KEY "\"%s}\n",
-		a->name, a->domain, a->listen, seeds(sys),
+		   "\"cluster_key\":\"" CLUSTER_KEY "\"%s}\n",
+		a->name, a->domain, a->listen, entry_addresses(sys),
 		extra != NULL ? extra : ""));
 
 	a->proc = hn_start(
@@ -169,17 +166,16 @@
 		SYS_SERVICE, "--slots", hn_str("%d", sys->opts.slots), NULL});
 }
 
-/* Starts further agents, each with an endpoint. */
 void
 sys_add_agents(struct sys *sys, int n, const char *settings)
 {
-	expect(sys->opts.agents + n <= SYS_MAX, "too many agents");
+	require(sys->opts.agents + n <= SYS_MAX, "more than SYS_MAX agents");
 	while (n-- > 0)
 		start_agent(sys, sys->opts.agents++, settings);
 }
 
 static const char *
-default_text(struct sys *sys)
+default_config_text(struct sys *sys)
 {
 	const char *domains = "";
 	int i;
@@ -194,7 +190,6 @@
 	    domains);
 }
 
-/* Applies a text through an entry. */
 bool
 sys_apply(struct sys *sys, int entry, const char *text, int64_t expected)
 {
@@ -213,7 +208,6 @@
 	return http->status == 200 || http->status == 202;
 }
 
-/* Starts the processes, without a configuration. */
 void
 sys_launch(struct sys *sys, const struct sys_options *opts)
 {
@@ -239,20 +233,20 @@
 		start_entry(sys, i);
 	sys->opts.agents = 0;
 	sys_add_agents(sys, opts->agents, opts->agent_settings);
-	sys->text = opts->text != NULL ? opts->text : default_text(sys);
+	sys->text = opts->text != NULL ? opts->text : default_config_text(sys);
 	for (i = 0; i < opts->entries; i++)
-		expect(hn_wait_until(
-			   hn_http("GET", sys_url(sys, i, "/healthz"), NULL)
-				   ->status == 200,
-			   HN_LIMIT_MS),
-		    "an entry did not start");
+		require(hn_wait_until(
+			    hn_http("GET", sys_url(sys, i, "/healthz"), NULL)
+				    ->status == 200,
+			    HN_LIMIT_MS),
+		    "an entry did not answer /healthz in time");
 }
 
-/* Fills all slots from one entry and sees whether every endpoint got work. */
+/* Submits a job that fills all slots; true if every endpoint started tasks. */
 static bool
-reaches_all(struct sys *sys, int entry)
+reaches_all_endpoints(struct sys *sys, int entry)
 {
-	int n = sys->opts.agents, i, got = 0;
+	int n = sys->opts.agents, i, n_reached = 0;
 	int64_t before[SYS_MAX];
 	struct hn_http *http =
 	    hn_http("GET", sys_url(sys, entry, "/metrics"), NULL);
@@ -266,36 +260,35 @@
 			     sys_body(n * sys->opts.slots, "{\"run_ms\":50}")),
 		HN_LIMIT_MS);
 	for (i = 0; i < n; i++)
-		got += sys_total(sys, i) > before[i];
-	return http->status == 200 && got == n;
+		n_reached += sys_total(sys, i) > before[i];
+	return http->status == 200 && n_reached == n;
 }
 
-/* Waits until the configuration is in force and every entry can work. */
 void
 sys_wait_ready(struct sys *sys)
 {
 	int i;
 
 	for (i = 0; i < sys->opts.entries; i++) {
-		expect(hn_wait_until(sys_in_force(sys, i, sys_version(sys, 0)),
-			   HN_LIMIT_MS),
-		    "the first configuration did not come into force");
-		expect(hn_wait_until(reaches_all(sys, i), HN_LIMIT_MS),
-		    "an entry does not reach every endpoint");
+		require(hn_wait_until(sys_in_force(sys, i, sys_version(sys, 0)),
+			    HN_LIMIT_MS),
+		    "the first configuration is not in force after "
+		    "HN_LIMIT_MS");
+		require(
+		    hn_wait_until(reaches_all_endpoints(sys, i), HN_LIMIT_MS),
+		    "an entry did not start tasks at every endpoint in time");
 	}
 }
 
-/* Starts the processes and applies the text; a failure aborts the test. */
 void
 sys_start(struct sys *sys, const struct sys_options *opts)
 {
 	sys_launch(sys, opts);
-	expect(hn_wait_until(sys_apply(sys, 0, sys->text, 0), HN_LIMIT_MS),
+	require(hn_wait_until(sys_apply(sys, 0, sys->text, 0), HN_LIMIT_MS),
 	    "the first configuration was not accepted");
 	sys_wait_ready(sys);
 }
 
-/* Waits until a job through the entry completes. */
 bool
 sys_wait_work(struct sys *sys, int entry, int64_t limit_ms)
 {
@@ -307,7 +300,6 @@
 	    limit_ms);
 }
 
-/* Returns a new id, or one that is invalid when the entry gives none. */
 const char *
 sys_mint(struct sys *sys, int entry)
 {
@@ -317,7 +309,6 @@
 	return http->status == 200 ? hn_json_str(http, "ids.0") : "none";
 }
 
-/* Builds the body of a submission. */
 const char *
 sys_body(int n, const char *payload)
 {
@@ -336,7 +327,6 @@
 	return text;
 }
 
-/* Submits a job, waiting for its answer, without passing the proxy. */
 struct hn_http *
 sys_submit(struct sys *sys, int entry, const char *id, const char *body)
 {
@@ -345,7 +335,7 @@
 	    body);
 }
 
-/* Resubmits like a caller that wants to know the outcome. */
+/* Does what a caller does that must learn the outcome of its job. */
 struct hn_http *
 sys_settle(struct sys *sys, int entry, const char *id, const char *body)
 {
@@ -359,7 +349,6 @@
 	return http;
 }
 
-/* Returns the id of the task that a result says it is of. */
 const char *
 sys_result_task(const struct hn_http *http, int index)
 {
@@ -382,7 +371,6 @@
 	    NULL);
 }
 
-/* Adds up the starts that all live endpoints counted for a job's tasks. */
 struct sys_count
 sys_starts(struct sys *sys, const char *id)
 {
@@ -416,14 +404,13 @@
 	return count;
 }
 
-/* Returns an endpoint's count of all starts, -1 when it does not answer. */
 int64_t
 sys_total(struct sys *sys, int agent)
 {
 	return hn_json_int(endpoint_counts(sys, agent, "?summary=1"), "total");
 }
 
-/* Asks an entry to take a domain out or in, with a change id of its own. */
+/* Each call has a new change id, so that it is never taken for a repetition. */
 struct hn_http *
 sys_out(struct sys *sys, int entry, const char *domain, bool out)
 {
@@ -435,7 +422,6 @@
 		domain, out ? "true" : "false", ++n));
 }
 
-/* Returns the version that an entry holds. */
 int64_t
 sys_version(struct sys *sys, int entry)
 {
@@ -444,7 +430,6 @@
 	    "version");
 }
 
-/* Reports whether the entry's configuration has the domain out of service. */
 bool
 sys_is_out(struct sys *sys, int entry, const char *domain)
 {
@@ -460,7 +445,6 @@
 	return false;
 }
 
-/* Asks an entry whether a version is in force everywhere. */
 bool
 sys_in_force(struct sys *sys, int entry, int64_t version)
 {
@@ -480,7 +464,7 @@
 	struct hn_http *ids;
 	struct hn_http *caller[64];
 	const char *caller_id[64];
-	GPtrArray *complete; /* ids */
+	GPtrArray *complete; /* ids of complete jobs */
 	struct sys_load_counts counts;
 	guint timer;
 	bool stopping;
@@ -498,7 +482,7 @@
 }
 
 static void
-load_note(struct sys_load *load, int caller)
+load_record_answer(struct sys_load *load, int caller)
 {
 	const struct hn_http *http = load->caller[caller];
 	const char *ran = hn_json_str(http, "ran");
@@ -508,16 +492,17 @@
 		load->counts.complete++;
 		g_ptr_array_add(
 		    load->complete, (gpointer)load->caller_id[caller]);
-		expect((int)json_object_array_length(json_object_object_get(
-			   http->json, "results")) == load->n_tasks,
-		    "a complete answer lacks results");
+		require((int)json_object_array_length(json_object_object_get(
+			    http->json, "results")) == load->n_tasks,
+		    "a complete job has fewer or more results than tasks");
 	} else if (http->status == 0) {
 		load->counts.none++;
 	} else if (strcmp(ran, "not_run") == 0) {
 		load->counts.not_run++;
-		expect(
+		require(
 		    sys_starts(load->sys, load->caller_id[caller]).total == 0,
-		    "a job answered with not_run was started");
+		    "a job was answered with not_run, but one of its tasks "
+		    "started");
 	} else if (strcmp(ran, "failed") == 0) {
 		load->counts.failed++;
 	} else {
@@ -535,21 +520,20 @@
 		if (load->caller[i] != NULL && !load->caller[i]->done)
 			continue;
 		if (load->caller[i] != NULL)
-			load_note(load, i);
-		if (!load->stopping && load->next_id < LOAD_IDS)
+			load_record_answer(load, i);
+		if (!load->stopping && load->next_id < LOAD_MAX_JOBS)
 			load_submit(load, i);
 	}
 	return G_SOURCE_CONTINUE;
 }
 
-/* Starts callers of one entry; at most LOAD_IDS jobs are submitted. */
 struct sys_load *
 sys_load_start(
     struct sys *sys, int entry, int callers, int n_tasks, const char *payload)
 {
 	struct sys_load *load = g_new0(struct sys_load, 1);
 
-	expect(callers <= 64, "too many callers");
+	require(callers <= 64, "more than 64 callers");
 	load->sys = sys;
 	load->entry = entry;
 	load->n_tasks = n_tasks;
@@ -557,13 +541,12 @@
 	load->body = sys_body(n_tasks, payload);
 	load->complete = g_ptr_array_new();
 	load->ids = hn_http("POST", sys_url(sys, entry, "/v1/ids"),
-	    hn_str("{\"count\":%d}", LOAD_IDS));
-	expect(load->ids->status == 200, "no ids for the load");
+	    hn_str("{\"count\":%d}", LOAD_MAX_JOBS));
+	require(load->ids->status == 200, "the entry returned no job ids");
 	load->timer = g_timeout_add(LOAD_POLL_MS, on_load_timer, load);
 	return load;
 }
 
-/* Returns the answers so far. */
 struct sys_load_counts
 sys_load_counts(const struct sys_load *load)
 {
@@ -582,7 +565,6 @@
 	return true;
 }
 
-/* Stops submitting, waits for the answers and frees the load. */
 struct sys_load_counts
 sys_load_stop(struct sys_load *load)
 {
@@ -591,19 +573,19 @@
 	int i;
 
 	load->stopping = true;
-	expect(hn_wait_until(load_is_idle(load), 3 * HN_LIMIT_MS),
-	    "a caller got no answer");
+	require(hn_wait_until(load_is_idle(load), 3 * HN_LIMIT_MS),
+	    "a job got no answer in time");
 	g_source_remove(load->timer);
 	for (i = 0; i < load->sys->opts.agents; i++) {
 		duplicates = hn_json_int(
 		    endpoint_counts(load->sys, i, "?summary=1"), "duplicates");
-		expect(duplicates <= 0, "a task was started twice");
+		require(duplicates <= 0, "an endpoint started a task twice");
 	}
 	for (i = 0; i < (int)load->complete->len; i += 17) {
 		struct sys_count count =
 		    sys_starts(load->sys, load->complete->pdata[i]);
 
-		expect(count.most <= 1, "a task was started at two endpoints");
+		require(count.most <= 1, "two endpoints started the same task");
 	}
 	counts = load->counts;
 	g_ptr_array_unref(load->complete);
--- a/tests/system.h
+++ b/tests/system.h
@@ -4,33 +4,35 @@
 #include "harness.h"
 
 /*
- * A small system of real processes: the store stand-in, entries, agents with
- * one endpoint each, and a fault proxy between all of them.  Entry and agent
- * i belong to failure domain i % domains ("domain-0" and so on).
+ * A small system of real processes: standin_store, entries, agents with one
+ * endpoint each, and a fault proxy in front of the entries and the store.
+ * Entry i and agent i belong to failure domain i % domains ("domain-0" and so
+ * on).
  */
 
 #define SYS_MAX	    96
 #define SYS_SERVICE "desk"
 #define SYS_TEAM    "blue"
-/* No process starts work under an old configuration after this. */
+/* Time after a change until no process starts work under the old version. */
 #define SYS_BOUND_MS 5000
 
 struct sys_options {
 	int entries, agents, domains;
-	int slots;		    /* of each endpoint; 0: 8 */
-	bool direct;		    /* no proxy; far_ ports are the near ones */
-	const char *entry_settings; /* ",\"key\":value..." or NULL */
+	int slots;   /* of each endpoint; 0 means 8 */
+	bool direct; /* no proxy: far_ ports equal the real ports */
+	/* Further JSON members, ",\"key\":value...", or NULL. */
+	const char *entry_settings;
 	const char *agent_settings;
-	const char *text; /* operators' text; NULL: one service, one team */
+	const char *text; /* configuration; NULL: one service, one team */
 };
 
 struct sys_entry {
 	struct hn_proc *proc;
 	const char *name, *domain;
 	uint16_t listen, operators, rpc;
-	uint16_t far_listen; /* caller's side of the proxy */
-	uint16_t far_rpc;    /* agents' and peers' side of the proxy */
-	uint16_t far_store;  /* this entry's way to the store */
+	uint16_t far_listen; /* proxy port for callers */
+	uint16_t far_rpc;    /* proxy port for agents and other entries */
+	uint16_t far_store;  /* proxy port for this entry's store calls */
 };
 
 struct sys_agent {
@@ -48,67 +50,87 @@
 	const char *text;
 };
 
-/* Starts everything and waits until each entry reaches each endpoint. */
+/*
+ * Starts all processes, applies the configuration and waits until each entry
+ * reaches each endpoint.
+ */
 void sys_start(struct sys *sys, const struct sys_options *opts);
-/* The two halves of it, for a text that is applied in another way. */
+/*
+ * The steps of sys_start() before and after the configuration is applied, for
+ * tests that apply it themselves.
+ */
 void sys_launch(struct sys *sys, const struct sys_options *opts);
 void sys_wait_ready(struct sys *sys);
-/* Starts n more agents; settings as of agent_settings, or NULL. */
+/* Starts n more agents; settings as in sys_options.agent_settings, or NULL. */
 void sys_add_agents(struct sys *sys, int n, const char *settings);
-/* Submits a text as a new version; returns whether it was accepted. */
+/*
+ * Submits a configuration text as the version after "expected"; returns true
+ * if it was accepted.
+ */
 bool sys_apply(struct sys *sys, int entry, const char *text, int64_t expected);
-/* Waits until a job of one entry completes again. */
+/* Submits jobs of one task to the entry until one completes. */
 bool sys_wait_work(struct sys *sys, int entry, int64_t limit_ms);
 
-/* Sets a rule of the proxy; pair is a far_ port, or 0 for all. */
+/*
+ * Sets a rule of the fault proxy; pair is a far_ port, or 0 for all.  An invalid
+ * rule aborts the test.
+ */
 void sys_rule(struct sys *sys, uint16_t pair, const char *query);
+/* Calls /control/CONTROL of standin_store. */
 void sys_store(struct sys *sys, const char *control);
+/* Sets the failure mode of an agent's endpoint. */
 void sys_mode(struct sys *sys, int agent, const char *query);
 
-/* URLs; the far one leads through the proxy. */
+/* URLs of an entry; only sys_far_url() passes through the proxy. */
 const char *sys_url(struct sys *sys, int entry, const char *path);
 const char *sys_far_url(struct sys *sys, int entry, const char *path);
 const char *sys_ops_url(struct sys *sys, int entry, const char *path);
 
-/* A new submission id of an entry. */
+/* Gets a new job id from an entry; "none", which is invalid, on failure. */
 const char *sys_mint(struct sys *sys, int entry);
-/* A body of n tasks with this payload. */
+/* Returns the body of a job of n tasks that all have this payload. */
 const char *sys_body(int n, const char *payload);
-/* Starts a submission that waits for the answer. */
+/* Starts a submission with wait_ms=20000, bypassing the proxy. */
 struct hn_http *sys_submit(
     struct sys *sys, int entry, const char *id, const char *body);
-/* Repeats the submission until an answer is final: not 202, 503 or none. */
+/* Resubmits until the answer is final: neither 202, 503 nor a failed call. */
 struct hn_http *sys_settle(
     struct sys *sys, int entry, const char *id, const char *body);
 
-/* The task id in the endpoint's answer at this place of the results. */
+/* Returns the task id that the endpoint put into the result at the index. */
 const char *sys_result_task(const struct hn_http *http, int index);
 
-/* Starts of a job's tasks that the endpoints counted. */
+/* Starts of a job's tasks, summed over all endpoints that answer. */
 struct sys_count {
-	int total, tasks, most; /* most: of one task */
+	int total, tasks, most; /* most: starts of the most started task */
 };
 struct sys_count sys_starts(struct sys *sys, const char *id);
-/* All starts at one endpoint. */
+/* Returns the count of all starts at one endpoint, -1 when it is down. */
 int64_t sys_total(struct sys *sys, int agent);
 
-/* Takes a failure domain out or brings it back; returns the answer. */
+/* Takes a failure domain out of service or puts it back in. */
 struct hn_http *sys_out(
     struct sys *sys, int entry, const char *domain, bool out);
-int64_t sys_version(struct sys *sys, int entry); /* -1: no answer */
+int64_t sys_version(struct sys *sys, int entry); /* -1 if unavailable */
+/* Returns true if the entry's configuration has the domain out of service. */
 bool sys_is_out(struct sys *sys, int entry, const char *domain);
-/* Whether the entry reports the version as in force everywhere. */
+/* Returns true if the entry reports the version as in force everywhere. */
 bool sys_in_force(struct sys *sys, int entry, int64_t version);
 
-/* Callers that submit one job after the other until stopped. */
+/* Concurrent callers, each of which submits jobs one after the other. */
 struct sys_load;
 struct sys_load_counts {
-	int complete, failed, not_run, unknown, none;
+	int complete, failed, not_run, unknown, none; /* none: no answer */
 };
+/* Submits at most 1000 jobs in all, through one entry. */
 struct sys_load *sys_load_start(
     struct sys *sys, int entry, int callers, int n_tasks, const char *payload);
 struct sys_load_counts sys_load_counts(const struct sys_load *load);
-/* Lets the submissions in progress end; checks each start was counted once. */
+/*
+ * Stops submitting, waits for outstanding answers and frees the load.  Checks
+ * that no endpoint started a task twice and, for every 17th complete job, that
+ * no two endpoints started the same task.
+ */
 struct sys_load_counts sys_load_stop(struct sys_load *load);
 
 #endif
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -1,6 +1,7 @@
 /*
- * Guarantees 2, 4 and 5: an answer is complete or failed, it is the answer to
- * the caller's own request, and a refusal that says "not run" is true.
+ * Guarantees 2, 4 and 5: a job is answered as complete or failed, never with
+ * partial results; the answer belongs to the caller's own request; and no task
+ * of a job that was refused as "not_run" has started.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -9,7 +10,7 @@
 #include "runner.h"
 #include "system.h"
 
-#define SERVICES                                                               \
+#define CONFIG_TEXT                                                            \
 	"{\"failure_domains\":[{\"name\":\"domain-0\",\"entries\":true},"      \
 	"{\"name\":\"domain-1\",\"entries\":true}],"                           \
 	"\"services\":[{\"name\":\"" SYS_SERVICE "\",\"max_cores\":64},"       \
@@ -18,10 +19,10 @@
 	"\"teams\":[{\"name\":\"" SYS_TEAM "\"},"                              \
 	"{\"name\":\"small\",\"max_in_flight\":4}]}"
 
-static const struct sys_options two = {
-    .entries = 2, .agents = 2, .domains = 2, .text = SERVICES};
+static const struct sys_options two_domains = {
+    .entries = 2, .agents = 2, .domains = 2, .text = CONFIG_TEXT};
 
-/* Tasks of one job: n ordinary ones and one with its own payload. */
+/* Body of a job of n tasks that take 200 ms and one with the given payload. */
 static const char *
 mixed_body(int n, const char *payload)
 {
@@ -36,9 +37,9 @@
 	int n;
 	const char *payload; /* of the last task */
 	const char *entry_settings;
-	int status;	 /* 0: 502 or 504, by which side notices first */
+	int status;	 /* 0: 502 or 504, whichever side times out first */
 	const char *ran; /* NULL: any */
-} failing[] = {
+} failing_jobs[] = {
     {"one task fails", 20, "{\"fail\":true,\"run_ms\":50}", NULL, 502,
 	"failed"},
     {"endpoint dies", 20, "{\"die\":true}", NULL, 502, "unknown"},
@@ -48,34 +49,35 @@
     {"a task hangs", 20, "{\"hang\":true}", NULL, 0, "unknown"},
 };
 
-/* One task without a result makes the whole job failed, never partial. */
-START_TEST(failed_as_a_whole)
+/* A job of which one task has no result fails and returns no results. */
+START_TEST(failed_job_has_no_results)
 {
-	struct sys_options opts = two;
+	struct sys_options opts = two_domains;
 	struct hn_http *http, *again;
 	struct sys_count count;
 	const char *id, *body;
 	struct sys sys;
 
-	opts.entry_settings = failing[_i].entry_settings;
+	opts.entry_settings = failing_jobs[_i].entry_settings;
 	sys_start(&sys, &opts);
 	id = sys_mint(&sys, 0);
-	body = mixed_body(failing[_i].n, failing[_i].payload);
-	if (failing[_i].status == 0)
+	body = mixed_body(failing_jobs[_i].n, failing_jobs[_i].payload);
+	if (failing_jobs[_i].status == 0)
 		body = hn_str("{\"deadline_ms\":3000,%s", body + 1);
 	http = hn_http_wait(sys_submit(&sys, 0, id, body), HN_LIMIT_MS);
-	ck_assert_msg(failing[_i].status != 0
-			  ? http->status == failing[_i].status
+	ck_assert_msg(failing_jobs[_i].status != 0
+			  ? http->status == failing_jobs[_i].status
 			  : http->status == 502 || http->status == 504,
-	    "%s: %d %.200s", failing[_i].name, http->status, http->body);
+	    "%s: %d %.200s", failing_jobs[_i].name, http->status, http->body);
 	ck_assert_str_eq(hn_json_str(http, "state"), "failed");
 	ck_assert_ptr_null(json_object_object_get(http->json, "results"));
 	ck_assert_str_ne(hn_json_str(http, "ran"), "not_run");
-	if (failing[_i].ran != NULL)
-		ck_assert_str_eq(hn_json_str(http, "ran"), failing[_i].ran);
+	if (failing_jobs[_i].ran != NULL)
+		ck_assert_str_eq(
+		    hn_json_str(http, "ran"), failing_jobs[_i].ran);
 	count = sys_starts(&sys, id);
 	ck_assert_int_le(count.most, 1);
-	/* The outcome stays and nothing starts any more. */
+	/* The other entry gives the same answer, and no more tasks start. */
 	hn_sleep(500);
 	again = sys_settle(&sys, 1, id, body);
 	ck_assert_int_eq(again->status, http->status);
@@ -85,19 +87,22 @@
 }
 END_TEST
 
-/* A cancelled job ends, its queued tasks never start, its slots are free. */
-START_TEST(cancelled)
+/*
+ * A cancelled job is answered, its queued tasks never start and its slots are
+ * released for other jobs.
+ */
+START_TEST(cancelled_job_stops)
 {
 	struct hn_http *first;
 	struct sys_count count;
 	const char *id;
 	struct sys sys;
 
-	sys_start(&sys, &two);
+	sys_start(&sys, &two_domains);
 	id = sys_mint(&sys, 0);
 	first = sys_submit(&sys, 0, id, sys_body(200, "{\"run_ms\":1000}"));
 	ck_assert(hn_wait_until(sys_starts(&sys, id).total > 0, HN_LIMIT_MS));
-	/* Through the other entry, as a caller behind the balancer would. */
+	/* Cancel through the other entry: a load balancer may choose either. */
 	hn_http("DELETE", sys_url(&sys, 1, hn_str("/v1/jobs/%s", id)), NULL);
 	hn_http_wait(first, HN_LIMIT_MS);
 	ck_assert_msg(
@@ -132,16 +137,16 @@
 	}
 }
 
-/* The largest job of the workload: each result once, in its place. */
+/* The largest expected job, 1300 tasks: each result once, at its index. */
 START_TEST(largest_job)
 {
 	struct hn_http *http;
 	const char *id;
 	struct sys sys;
 
-	sys_start(&sys, &two);
+	sys_start(&sys, &two_domains);
 	id = sys_mint(&sys, 1);
-	/* Forwarded by the entry that does not own it. */
+	/* Entry 0 forwards the job to entry 1, which issued the id. */
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, id, sys_body(1300, "{\"run_ms\":1}")),
 	    2 * HN_LIMIT_MS);
@@ -151,15 +156,15 @@
 }
 END_TEST
 
-/* A caller that went away finds its answer later; nobody else gets it. */
-START_TEST(caller_goes_away)
+/* After a caller disconnects, a resubmission returns its own job's results. */
+START_TEST(caller_disconnects)
 {
 	const char *id[8], *body = sys_body(4, "{\"run_ms\":500}");
 	struct hn_http *http;
 	struct sys sys;
 	int i;
 
-	sys_start(&sys, &two);
+	sys_start(&sys, &two_domains);
 	for (i = 0; i < 8; i++) {
 		id[i] = sys_mint(&sys, i % 2);
 		http = sys_submit(&sys, i / 4, id[i], body);
@@ -180,8 +185,8 @@
 END_TEST
 
 /*
- * Results that arrive late, out of order or again on a replaced connection
- * reach the job they belong to.
+ * Results that arrive late, out of order or a second time over a replacement
+ * connection are assigned to the right job.
  */
 START_TEST(answers_on_replaced_connection)
 {
@@ -192,7 +197,7 @@
 	struct sys sys;
 	int i;
 
-	sys_start(&sys, &two);
+	sys_start(&sys, &two_domains);
 	for (i = 0; i < JOBS; i++) {
 		id[i] = sys_mint(&sys, 0);
 		http[i] = sys_submit(&sys, 0, id[i],
@@ -221,7 +226,7 @@
 
 static const struct {
 	const char *name, *body, *error;
-} refused[] = {
+} refused_jobs[] = {
     {"no JSON", "{\"service\":", "bad_request"},
     {"unknown key",
 	"{\"service\":\"desk\",\"team\":\"blue\",\"x\":1,\"tasks\":[" TASK "]}",
@@ -248,11 +253,11 @@
 			      strcmp(hn_json_str(http, "error"), error) == 0),
 	    "%s: %d %.200s", name, http->status, http->body);
 	ck_assert_msg(sys_starts(sys, id).total == 0,
-	    "%s: refused as not run, but it started", name);
+	    "%s: refused as not_run, but a task started", name);
 }
 
-/* Every refusal that says "not run" is compared with the endpoints' counts. */
-START_TEST(refusals_are_true)
+/* No task of a job refused as "not_run" was counted at an endpoint. */
+START_TEST(refused_jobs_never_start)
 {
 	struct hn_http *http, *busy[8];
 	const char *id;
@@ -260,14 +265,14 @@
 	struct sys sys;
 	size_t i;
 
-	sys_start(&sys, &two);
+	sys_start(&sys, &two_domains);
 	before = sys_total(&sys, 0) + sys_total(&sys, 1);
-	for (i = 0; i < sizeof(refused) / sizeof(refused[0]); i++) {
+	for (i = 0; i < sizeof(refused_jobs) / sizeof(refused_jobs[0]); i++) {
 		id = sys_mint(&sys, i % 2);
 		http = hn_http_wait(
-		    sys_submit(&sys, 0, id, refused[i].body), HN_LIMIT_MS);
-		check_refused(
-		    &sys, refused[i].name, http, id, refused[i].error);
+		    sys_submit(&sys, 0, id, refused_jobs[i].body), HN_LIMIT_MS);
+		check_refused(&sys, refused_jobs[i].name, http, id,
+		    refused_jobs[i].error);
 	}
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, "0-0-0", sys_body(1, "{}")), HN_LIMIT_MS);
@@ -284,7 +289,10 @@
 	check_refused(&sys, "too many tasks", http, id, "too_many_tasks");
 	ck_assert_int_eq(sys_total(&sys, 0) + sys_total(&sys, 1), before);
 
-	/* With the service busy for minutes a short deadline is hopeless. */
+	/*
+	 * All slots stay occupied for minutes, so a deadline of 1 ms cannot be
+	 * met.
+	 */
 	for (i = 0; i < 8; i++)
 		busy[i] = sys_submit(&sys, 0, sys_mint(&sys, 0),
 		    sys_body(100, "{\"run_ms\":8000}"));
@@ -305,14 +313,14 @@
 }
 END_TEST
 
-/* A queue that is full refuses at once, and what it refuses never runs. */
+/* Jobs refused because the queue is full never start a task. */
 START_TEST(full_queue_refuses)
 {
 	enum { JOBS = 40 };
-	struct sys_options opts = two;
+	struct sys_options opts = two_domains;
 	struct hn_http *http[JOBS];
 	const char *id[JOBS], *body = sys_body(10, "{\"run_ms\":200}");
-	int i, ok = 0, no = 0;
+	int i, n_complete = 0, n_refused = 0;
 	struct sys sys;
 
 	opts.text =
@@ -329,14 +337,14 @@
 		hn_http_wait(http[i], 2 * HN_LIMIT_MS);
 		if (http[i]->status == 200) {
 			check_own_results(http[i], id[i], 10);
-			ok++;
+			n_complete++;
 		} else {
 			check_refused(&sys, "full", http[i], id[i], NULL);
-			no++;
+			n_refused++;
 		}
 	}
-	ck_assert_int_gt(ok, 0);
-	ck_assert_int_gt(no, 0);
+	ck_assert_int_gt(n_complete, 0);
+	ck_assert_int_gt(n_refused, 0);
 	hn_finish();
 }
 END_TEST
@@ -344,14 +352,14 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {cancelled, largest_job, caller_goes_away,
-	    answers_on_replaced_connection, refusals_are_true,
-	    full_queue_refuses};
-	int red = 0;
+	const TTest *const tests[] = {cancelled_job_stops, largest_job,
+	    caller_disconnects, answers_on_replaced_connection,
+	    refused_jobs_never_start, full_queue_refuses};
+	int exit_code = 0;
 
-	red |= run_table("answers failed", failed_as_a_whole,
-	    sizeof(failing) / sizeof(failing[0]), 240);
-	red |=
+	exit_code |= run_table("answers failed", failed_job_has_no_results,
+	    sizeof(failing_jobs) / sizeof(failing_jobs[0]), 240);
+	exit_code |=
 	    run_tests("answers", tests, sizeof(tests) / sizeof(tests[0]), 240);
-	return red;
+	return exit_code;
 }
--- a/tests/test_bad_input.c
+++ b/tests/test_bad_input.c
@@ -1,6 +1,6 @@
 /*
- * Malformed and hostile input on every port of real processes: it must not
- * crash them, fill their memory or harm the requests of others.
+ * Malformed and hostile input on every port of real processes must not crash
+ * them, exhaust their memory or make other callers' requests fail.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -15,14 +15,15 @@
 #include "runner.h"
 #include "system.h"
 
-#define RSS_MORE_KB (64L * 1024)
-#define CONNECTIONS 300 /* on each port */
-#define SEED	    20261204
+#define RSS_GROWTH_MAX_KB    (64L * 1024)
+#define CONNECTIONS_PER_PORT 300
+#define SEED		     20261204
 
-static const struct sys_options one = {.entries = 1, .agents = 1, .domains = 1};
+static const struct sys_options one_of_each = {
+    .entries = 1, .agents = 1, .domains = 1};
 
 static int
-dial(uint16_t port)
+connect_to(uint16_t port)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET,
 	    .sin_port = htons(port),
@@ -36,10 +37,10 @@
 }
 
 static void
-put(int fd, const void *data, size_t len)
+send_bytes(int fd, const void *data, size_t len)
 {
 	if (send(fd, data, len, MSG_NOSIGNAL) < 0)
-		return; /* closed by the peer, as it may be */
+		return; /* the peer may close the connection at any time */
 }
 
 static bool
@@ -67,9 +68,9 @@
 	return kb;
 }
 
-/* A record mark, an RPC call header and random bytes, cut and altered. */
+/* Sends an RPC record that is malformed in one of five ways, cut at random. */
 static void
-rpc_garbage(GRand *rand, int fd)
+send_malformed_rpc(GRand *rand, int fd)
 {
 	uint32_t head[11] = {0x80000000U + 40 + 400, 7, 0, 2,
 	    g_rand_boolean(rand) ? 0x20005350 : 0x20005351, 1, 1, 0, 0, 0, 0};
@@ -83,25 +84,25 @@
 	switch (g_rand_int_range(rand, 0, 5)) {
 	case 0: /* random bytes */
 		break;
-	case 1: /* a HELLO of random content */
+	case 1: /* a HELLO with random arguments */
 		memcpy(buf, head, sizeof(head));
 		break;
-	case 2: /* another program */
+	case 2: /* an unknown program number */
 		head[4] = htonl(100000);
 		memcpy(buf, head, sizeof(head));
 		break;
-	case 3: /* a record of 2 GB */
+	case 3: /* a record mark that announces 2 GB */
 		head[0] = 0xffffffffU;
 		memcpy(buf, head, sizeof(head));
 		break;
-	default: /* a valid header, altered in one byte */
+	default: /* a valid header with one byte altered */
 		memcpy(buf, head, sizeof(head));
 		buf[g_rand_int_range(rand, 0, sizeof(head))] ^= 0x41;
 	}
-	put(fd, buf, g_rand_int_range(rand, 1, sizeof(buf)));
+	send_bytes(fd, buf, g_rand_int_range(rand, 1, sizeof(buf)));
 }
 
-static const char *const http_garbage[] = {
+static const char *const malformed_http[] = {
     "\r\n\r\n\r\n",
     "GET\r\n\r\n",
     "GET / HTTP/9.9\r\n\r\n",
@@ -122,33 +123,33 @@
     "GET /v1/services/desk/ HTTP/1.1\r\nX: \x01\x02\r\n\r\n",
 };
 
-/* Hostile connections on all ports while a normal caller's jobs go on. */
-START_TEST(garbage)
+/* Malformed input on all ports while ordinary callers' jobs must complete. */
+START_TEST(malformed_input)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
-	int fds[4 * CONNECTIONS], n = 0, i, j;
+	int fds[4 * CONNECTIONS_PER_PORT], n = 0, i, j;
 	struct sys_load_counts counts;
 	struct sys_load *load;
 	uint16_t http[3];
 	long before[2];
 	struct sys sys;
 
-	sys_start(&sys, &one);
+	sys_start(&sys, &one_of_each);
 	http[0] = sys.entry[0].listen;
 	http[1] = sys.entry[0].operators;
 	http[2] = sys.agent[0].listen;
 	before[0] = rss_kb(hn_pid(sys.entry[0].proc));
 	before[1] = rss_kb(hn_pid(sys.agent[0].proc));
 	load = sys_load_start(&sys, 0, 4, 2, "{\"run_ms\":20}");
-	for (i = 0; i < CONNECTIONS; i++) {
-		fds[n] = dial(sys.entry[0].rpc);
-		rpc_garbage(rand, fds[n++]);
+	for (i = 0; i < CONNECTIONS_PER_PORT; i++) {
+		fds[n] = connect_to(sys.entry[0].rpc);
+		send_malformed_rpc(rand, fds[n++]);
 		for (j = 0; j < 3; j++) {
-			const char *text = http_garbage[g_rand_int_range(
-			    rand, 0, G_N_ELEMENTS(http_garbage))];
+			const char *text = malformed_http[g_rand_int_range(
+			    rand, 0, G_N_ELEMENTS(malformed_http))];
 
-			fds[n] = dial(http[j]);
-			put(fds[n++], text, strlen(text));
+			fds[n] = connect_to(http[j]);
+			send_bytes(fds[n++], text, strlen(text));
 		}
 		hn_sleep(2);
 	}
@@ -163,9 +164,9 @@
 	ck_assert_int_ne(hn_pid(sys.entry[0].proc), 0);
 	ck_assert_int_ne(hn_pid(sys.agent[0].proc), 0);
 	ck_assert_int_lt(
-	    rss_kb(hn_pid(sys.entry[0].proc)) - before[0], RSS_MORE_KB);
+	    rss_kb(hn_pid(sys.entry[0].proc)) - before[0], RSS_GROWTH_MAX_KB);
 	ck_assert_int_lt(
-	    rss_kb(hn_pid(sys.agent[0].proc)) - before[1], RSS_MORE_KB);
+	    rss_kb(hn_pid(sys.agent[0].proc)) - before[1], RSS_GROWTH_MAX_KB);
 	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
 	g_rand_free(rand);
 	hn_finish();
@@ -173,13 +174,14 @@
 END_TEST
 
 /*
- * A body that is sent on and on is not stored: the operators' and the agent's
- * listener took any length.
+ * A request body announced as 2 GB is not buffered in memory.  Guards against
+ * listeners without a limit: the operators' and the agent's listeners accepted
+ * bodies of any length.
  */
 START_TEST(endless_body)
 {
-	static const char endless[] = "PUT /v1/announce HTTP/1.1\r\nHost: a\r\n"
-				      "Content-Length: 2000000000\r\n\r\n";
+	static const char header[] = "PUT /v1/announce HTTP/1.1\r\nHost: a\r\n"
+				     "Content-Length: 2000000000\r\n\r\n";
 	static char chunk[65536];
 	struct sys sys;
 	uint16_t port;
@@ -187,39 +189,42 @@
 	long before;
 	int fd, i;
 
-	sys_start(&sys, &one);
+	sys_start(&sys, &one_of_each);
 	port = _i == 0	 ? sys.entry[0].listen
 	       : _i == 1 ? sys.entry[0].operators
 			 : sys.agent[0].listen;
 	pid = hn_pid(_i < 2 ? sys.entry[0].proc : sys.agent[0].proc);
 	before = rss_kb(pid);
-	fd = dial(port);
+	fd = connect_to(port);
 	fcntl(fd, F_SETFL, 0);
-	put(fd, endless, strlen(endless));
+	send_bytes(fd, header, strlen(header));
 	for (i = 0; i < 4096; i++) {
 		if (send(fd, chunk, sizeof(chunk), MSG_NOSIGNAL) < 0)
 			break;
 	}
-	ck_assert_int_lt(rss_kb(pid) - before, RSS_MORE_KB);
+	ck_assert_int_lt(rss_kb(pid) - before, RSS_GROWTH_MAX_KB);
 	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
 	close(fd);
 	hn_finish();
 }
 END_TEST
 
-/* Bytes that never become a HELLO hold a connection for a bounded time. */
-START_TEST(no_hello)
+/* An RPC connection without a complete HELLO is closed after a time-out. */
+START_TEST(hello_timeout)
 {
 	struct sys sys;
 	int silent, busy;
 
-	sys_start(&sys, &one);
-	silent = dial(sys.entry[0].rpc);
-	busy = dial(sys.entry[0].rpc);
-	put(busy, "\x80\x00\x40\x00", 4);
-	/* The busy one is fed from the start, so that it is never silent. */
+	sys_start(&sys, &one_of_each);
+	silent = connect_to(sys.entry[0].rpc);
+	busy = connect_to(sys.entry[0].rpc);
+	send_bytes(busy, "\x80\x00\x40\x00", 4);
+	/*
+	 * The busy connection gets a byte at each poll, so that an idle
+	 * time-out alone would not close it.
+	 */
 	ck_assert(hn_wait_until(
-	    (put(busy, "x", 1), is_closed(busy) && is_closed(silent)),
+	    (send_bytes(busy, "x", 1), is_closed(busy) && is_closed(silent)),
 	    HN_LIMIT_MS));
 	close(silent);
 	close(busy);
@@ -227,14 +232,17 @@
 }
 END_TEST
 
-/* An agent with a wrong key gets no work and disturbs nobody. */
+/*
+ * An agent with a wrong cluster key is refused, also when it uses the name of a
+ * connected worker, and jobs still complete.
+ */
 START_TEST(wrong_key)
 {
 	const char *path;
 	struct hn_proc *proc;
 	struct sys sys;
 
-	sys_start(&sys, &one);
+	sys_start(&sys, &one_of_each);
 	path = hn_write("intruder.json",
 	    hn_str("{\"worker\":\"worker-0\",\"failure_domain\":\"domain-0\","
 		   "\"listen\":\"127.0.0.1:%u\",\"entries\":[\"127.0.0.1:%u\"]"
@@ -253,12 +261,13 @@
 END_TEST
 
 /*
- * An agent ends after drain_timeout_ms although its entry can't answer.  The
- * limit is below the default of the setting, 30 s.
+ * An agent exits after drain_timeout_ms even when its entry cannot answer.  The
+ * time-out of 15 s is below the setting's default of 30 s, so that an ignored
+ * setting fails the test.
  */
-START_TEST(drain_without_entry)
+START_TEST(agent_drain_timeout)
 {
-	struct sys_options opts = one;
+	struct sys_options opts = one_of_each;
 	struct hn_http *http;
 	struct sys sys;
 
@@ -286,12 +295,13 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {garbage, no_hello, wrong_key};
-	int red;
+	const TTest *const tests[] = {
+	    malformed_input, hello_timeout, wrong_key};
+	int exit_code;
 
 	limit_quarantine();
-	red = run_tests("bad input", tests, 3, 240);
-	red |= run_table("endless body", endless_body, 3, 240);
-	return red |
-	       run_table("drain without entry", drain_without_entry, 3, 240);
+	exit_code = run_tests("bad input", tests, 3, 240);
+	exit_code |= run_table("endless body", endless_body, 3, 240);
+	return exit_code |
+	       run_table("drain without entry", agent_drain_timeout, 3, 240);
 }
--- a/tests/test_harness.c
+++ b/tests/test_harness.c
@@ -5,8 +5,8 @@
 #include "harness.h"
 #include "runner.h"
 
-/* A server that answers each line it reads with the same line. */
-struct echo {
+/* A TCP listener behind a fault proxy; the tests use both ends directly. */
+struct server {
 	uint16_t port, proxied, control;
 	GSocketListener *listener;
 	GSocketConnection *accepted;
@@ -14,24 +14,25 @@
 };
 
 static void
-echo_start(struct echo *echo)
+server_start(struct server *server)
 {
 	GInetAddress *loopback =
 	    g_inet_address_new_loopback(G_SOCKET_FAMILY_IPV4);
 	GSocketAddress *address;
 
-	echo->port = hn_port();
-	echo->proxied = hn_port();
-	echo->control = hn_port();
-	address = g_inet_socket_address_new(loopback, echo->port);
-	echo->listener = g_socket_listener_new();
-	ck_assert(g_socket_listener_add_address(echo->listener, address,
+	server->port = hn_port();
+	server->proxied = hn_port();
+	server->control = hn_port();
+	address = g_inet_socket_address_new(loopback, server->port);
+	server->listener = g_socket_listener_new();
+	ck_assert(g_socket_listener_add_address(server->listener, address,
 	    G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL, NULL, NULL));
-	echo->proxy = hn_start("proxy",
-	    (const char *[]){"fault_proxy", hn_str("%u", echo->control),
-		hn_str("%u=%u", echo->proxied, echo->port), NULL});
+	server->proxy = hn_start("proxy",
+	    (const char *[]){"fault_proxy", hn_str("%u", server->control),
+		hn_str("%u=%u", server->proxied, server->port), NULL});
 	ck_assert(hn_wait_until(
-	    hn_http("GET", hn_str("http://127.0.0.1:%u/", echo->control), NULL)
+	    hn_http(
+		"GET", hn_str("http://127.0.0.1:%u/", server->control), NULL)
 		    ->status == 200,
 	    HN_LIMIT_MS));
 	g_object_unref(address);
@@ -39,41 +40,44 @@
 }
 
 static GSocketConnection *
-echo_connect(struct echo *echo)
+server_connect(struct server *server)
 {
 	GSocketClient *client = g_socket_client_new();
 	GSocketConnection *conn = g_socket_client_connect_to_host(
-	    client, "127.0.0.1", echo->proxied, NULL, NULL);
+	    client, "127.0.0.1", server->proxied, NULL, NULL);
 
 	ck_assert_ptr_nonnull(conn);
 	g_object_unref(client);
-	echo->accepted =
-	    g_socket_listener_accept(echo->listener, NULL, NULL, NULL);
-	ck_assert_ptr_nonnull(echo->accepted);
+	server->accepted =
+	    g_socket_listener_accept(server->listener, NULL, NULL, NULL);
+	ck_assert_ptr_nonnull(server->accepted);
 	return conn;
 }
 
 static void
-rule(struct echo *echo, const char *query)
+set_rule(struct server *server, const char *query)
 {
 	ck_assert_int_eq(
 	    hn_http("POST",
-		hn_str("http://127.0.0.1:%u/?%s", echo->control, query), NULL)
+		hn_str("http://127.0.0.1:%u/?%s", server->control, query), NULL)
 		->status,
 	    200);
 }
 
 static void
-put(GSocketConnection *conn, const char *text)
+write_text(GSocketConnection *conn, const char *text)
 {
 	ck_assert(g_output_stream_write_all(
 	    g_io_stream_get_output_stream(G_IO_STREAM(conn)), text,
 	    strlen(text), NULL, NULL, NULL));
 }
 
-/* Reads what arrives within the time: "" is nothing, "<end>" a closed stream */
+/*
+ * Reads what arrives within limit_ms: "" if nothing does, "<end>" if the stream
+ * was closed.
+ */
 static const char *
-take(GSocketConnection *conn, int64_t limit_ms)
+read_available(GSocketConnection *conn, int64_t limit_ms)
 {
 	static char text[256];
 	GSocket *socket = g_socket_connection_get_socket(conn);
@@ -90,114 +94,129 @@
 	return text;
 }
 
-/* Every fault of the proxy must do what the tests of guarantees rely on. */
+/* Each proxy action affects the selected connections and directions only. */
 START_TEST(proxy_faults)
 {
-	struct echo echo;
-	GSocketConnection *a, *b, *sa, *sb;
+	struct server server;
+	GSocketConnection *a, *b, *server_a, *server_b;
 	int64_t before_ms;
 
-	echo_start(&echo);
-	a = echo_connect(&echo);
-	sa = echo.accepted;
-	put(a, "name-a");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "name-a");
-	b = echo_connect(&echo);
-	sb = echo.accepted;
-	put(b, "name-b");
-	ck_assert_str_eq(take(sb, HN_LIMIT_MS), "name-b");
-
-	/* Only the named connection and direction freezes, and for good. */
-	rule(&echo, "action=freeze&match=name-a&direction=down&scope=existing");
-	put(sa, "late");
-	put(sb, "now");
-	put(a, "up");
-	ck_assert_str_eq(take(b, HN_LIMIT_MS), "now");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "up");
-	rule(&echo, "action=restore");
-	ck_assert_str_eq(take(a, 200), "");
-	rule(&echo, "action=release");
-	ck_assert_str_eq(take(a, HN_LIMIT_MS), "late");
+	server_start(&server);
+	a = server_connect(&server);
+	server_a = server.accepted;
+	write_text(a, "name-a");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "name-a");
+	b = server_connect(&server);
+	server_b = server.accepted;
+	write_text(b, "name-b");
+	ck_assert_str_eq(read_available(server_b, HN_LIMIT_MS), "name-b");
+
+	/*
+	 * Freeze affects only the matching connection and direction, and lasts
+	 * until release: restore does not end it.
+	 */
+	set_rule(&server,
+	    "action=freeze&match=name-a&direction=down&scope=existing");
+	write_text(server_a, "late");
+	write_text(server_b, "now");
+	write_text(a, "up");
+	ck_assert_str_eq(read_available(b, HN_LIMIT_MS), "now");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "up");
+	set_rule(&server, "action=restore");
+	ck_assert_str_eq(read_available(a, 200), "");
+	set_rule(&server, "action=release");
+	ck_assert_str_eq(read_available(a, HN_LIMIT_MS), "late");
 
 	before_ms = hn_now_ms();
-	rule(&echo, "action=delay&ms=300&direction=up");
-	put(a, "slow");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "slow");
+	set_rule(&server, "action=delay&ms=300&direction=up");
+	write_text(a, "slow");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "slow");
 	ck_assert_int_ge(hn_now_ms() - before_ms, 300);
-	rule(&echo, "action=restore");
-
-	/* The request arrives, its reply is lost, nobody else is harmed. */
-	rule(&echo, "action=drop&match=PUT&direction=down");
-	put(a, "GET");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "GET");
-	put(sa, "ok");
-	ck_assert_str_eq(take(a, HN_LIMIT_MS), "ok");
-	put(a, "PUT");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "PUT");
-	put(sa, "lost");
-	ck_assert_str_eq(take(a, HN_LIMIT_MS), "<end>");
-	put(sb, "kept");
-	ck_assert_str_eq(take(b, HN_LIMIT_MS), "kept");
-
-	rule(&echo, "action=cut");
-	ck_assert_str_eq(take(b, HN_LIMIT_MS), "<end>");
+	set_rule(&server, "action=restore");
+
+	/*
+	 * Drop lets the matching request through, discards its reply and closes
+	 * that connection; the other one is unaffected.
+	 */
+	set_rule(&server, "action=drop&match=PUT&direction=down");
+	write_text(a, "GET");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "GET");
+	write_text(server_a, "ok");
+	ck_assert_str_eq(read_available(a, HN_LIMIT_MS), "ok");
+	write_text(a, "PUT");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "PUT");
+	write_text(server_a, "lost");
+	ck_assert_str_eq(read_available(a, HN_LIMIT_MS), "<end>");
+	write_text(server_b, "kept");
+	ck_assert_str_eq(read_available(b, HN_LIMIT_MS), "kept");
+
+	set_rule(&server, "action=cut");
+	ck_assert_str_eq(read_available(b, HN_LIMIT_MS), "<end>");
 	g_object_unref(a);
-	g_object_unref(sa);
+	g_object_unref(server_a);
 	g_object_unref(b);
-	g_object_unref(sb);
-	g_object_unref(echo.listener);
+	g_object_unref(server_b);
+	g_object_unref(server.listener);
 	hn_finish();
 }
 END_TEST
 
-/* Data held on a connection that its client closed still arrives later. */
+/*
+ * Data held by a freeze is still delivered on release when the client has
+ * closed the connection meanwhile.
+ */
 START_TEST(proxy_delivers_late)
 {
-	struct echo echo;
-	GSocketConnection *a, *sa;
-
-	echo_start(&echo);
-	a = echo_connect(&echo);
-	sa = echo.accepted;
-	put(a, "x");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "x");
-	rule(&echo, "action=freeze&direction=up&scope=existing");
-	put(a, "late");
+	struct server server;
+	GSocketConnection *a, *server_a;
+
+	server_start(&server);
+	a = server_connect(&server);
+	server_a = server.accepted;
+	write_text(a, "x");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "x");
+	set_rule(&server, "action=freeze&direction=up&scope=existing");
+	write_text(a, "late");
 	hn_wait_until(
-	    hn_json_int(hn_http("GET",
-			    hn_str("http://127.0.0.1:%u/", echo.control), NULL),
+	    hn_json_int(
+		hn_http("GET", hn_str("http://127.0.0.1:%u/", server.control),
+		    NULL),
 		"held") == 4,
 	    HN_LIMIT_MS);
 	g_io_stream_close(G_IO_STREAM(a), NULL, NULL);
-	ck_assert_str_eq(take(sa, 200), "");
-	rule(&echo, "action=release");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "late");
-	ck_assert_str_eq(take(sa, HN_LIMIT_MS), "<end>");
+	ck_assert_str_eq(read_available(server_a, 200), "");
+	set_rule(&server, "action=release");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "late");
+	ck_assert_str_eq(read_available(server_a, HN_LIMIT_MS), "<end>");
 	g_object_unref(a);
-	g_object_unref(sa);
-	g_object_unref(echo.listener);
+	g_object_unref(server_a);
+	g_object_unref(server.listener);
 	hn_finish();
 }
 END_TEST
 
-/* Signals and restarts reach the process; ports are not given out twice. */
+/*
+ * Signals and restarts take effect on the process, and consecutive calls of
+ * hn_port() return different ports.
+ */
 START_TEST(processes_and_ports)
 {
-	struct echo echo;
+	struct server server;
 	uint16_t a = hn_port(), b = hn_port();
 	pid_t pid;
 
 	ck_assert_uint_ne(a, b);
-	echo_start(&echo);
-	pid = hn_pid(echo.proxy);
-	hn_signal(echo.proxy, SIGSTOP);
-	ck_assert_int_eq(hn_wait_exit(echo.proxy, 100), -1);
-	hn_signal(echo.proxy, SIGTERM);
-	hn_signal(echo.proxy, SIGCONT);
-	ck_assert_int_eq(hn_wait_exit(echo.proxy, HN_LIMIT_MS), 128 + SIGTERM);
-	hn_restart(echo.proxy);
-	ck_assert_int_ne(hn_pid(echo.proxy), pid);
-	g_object_unref(echo.listener);
+	server_start(&server);
+	pid = hn_pid(server.proxy);
+	hn_signal(server.proxy, SIGSTOP);
+	ck_assert_int_eq(hn_wait_exit(server.proxy, 100), -1);
+	hn_signal(server.proxy, SIGTERM);
+	hn_signal(server.proxy, SIGCONT);
+	ck_assert_int_eq(
+	    hn_wait_exit(server.proxy, HN_LIMIT_MS), 128 + SIGTERM);
+	hn_restart(server.proxy);
+	ck_assert_int_ne(hn_pid(server.proxy), pid);
+	g_object_unref(server.listener);
 	hn_finish();
 }
 END_TEST
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -1,7 +1,7 @@
 /*
- * Failures that come with overload and bad workers, with real processes: a
- * worker that fails or lags must not attract work, what can't run is refused,
- * and bursts, cancellations and store outages harm nothing else.
+ * Overload and faulty workers, with real processes: failing or slow workers
+ * must not attract work, jobs that can never run are refused, and bursts,
+ * cancellations and store outages must not make other jobs fail.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -10,23 +10,28 @@
 #include "runner.h"
 #include "system.h"
 
-#define JOBS	    200
-#define RSS_MORE_KB (64L * 1024) /* the bound of control traffic per node */
-/* An entry waits this long for the outcomes of a cancelled job. */
+#define N_JOBS 200
+/* The memory limit for control traffic per node. */
+#define RSS_GROWTH_MAX_KB (64L * 1024)
+/* Time that an entry waits for the outcomes of a cancelled job's tasks. */
 #define CANCEL_GRACE_MS 250
 #define DOMAIN                                                                 \
 	"{\"failure_domains\":[{\"name\":\"domain-0\",\"entries\":true}],"
 #define TEAMS "\"teams\":[{\"name\":\"blue\"}]}"
 
-struct tally {
+struct answer_counts {
 	int complete, not_run, failed;
 };
 
-/* Checks each answer: whole, or refused and never started, or failed. */
-static struct tally
-tally(struct sys *sys, struct hn_http **http, const char **id, int n, int tasks)
+/*
+ * Waits for and counts the answers.  Each must be complete with all results,
+ * failed without any, or refused as not_run with no task started.
+ */
+static struct answer_counts
+count_answers(
+    struct sys *sys, struct hn_http **http, const char **id, int n, int tasks)
 {
-	struct tally t = {0};
+	struct answer_counts t = {0};
 	struct json_object *results;
 	int i;
 
@@ -48,7 +53,8 @@
 		}
 		t.not_run++;
 		ck_assert_msg(sys_starts(sys, id[i]).total == 0,
-		    "answered with not_run but started: %.200s", http[i]->body);
+		    "answered with not_run, but a task started: %.200s",
+		    http[i]->body);
 	}
 	return t;
 }
@@ -78,23 +84,23 @@
 }
 
 static void
-reaches(struct sys *sys, const char *name, int64_t value)
+assert_gauge_becomes(struct sys *sys, const char *name, int64_t value)
 {
 	ck_assert_msg(hn_wait_until(gauge(sys, 0, name) == value, HN_LIMIT_MS),
 	    "%s is %d, not %d", name, (int)gauge(sys, 0, name), (int)value);
 }
 
 static void
-falls_to(struct sys *sys, const char *name, int64_t value)
+assert_gauge_falls_to(struct sys *sys, const char *name, int64_t value)
 {
 	ck_assert_msg(hn_wait_until(gauge(sys, 0, name) <= value, HN_LIMIT_MS),
 	    "%s is %d, more than %d", name, (int)gauge(sys, 0, name),
 	    (int)value);
 }
 
-/* Starts at the first n endpoints. */
+/* Returns the number of starts at the first n endpoints. */
 static int64_t
-starts(struct sys *sys, int n)
+total_starts(struct sys *sys, int n)
 {
 	int64_t sum = 0;
 
@@ -120,7 +126,7 @@
 }
 
 static void
-modes(struct sys *sys, int first, int n, const char *query)
+set_modes(struct sys *sys, int first, int n, const char *query)
 {
 	int i;
 
@@ -128,9 +134,9 @@
 		sys_mode(sys, i, query);
 }
 
-/* Waits until a load has this many more complete jobs. */
+/* Waits until the given number of further jobs completed. */
 static void
-progress(struct sys_load *load, int more)
+wait_for_jobs(struct sys_load *load, int more)
 {
 	int before = sys_load_counts(load).complete;
 
@@ -142,9 +148,10 @@
 }
 
 /*
- * A worker that fails at once looks idle and fast.  Ejection takes up to 10
- * failures in a window of 20; what was sent before (4 slots, 2 ahead) still
- * starts, and a probe each after 1, 2, 4, 8 and 16 s.
+ * A worker whose tasks fail immediately looks idle and fast and must not attract
+ * work.  Ejection takes up to 10 failures in a window of 20.  Tasks that were
+ * sent before the ejection still start (4 slots, 2 sent ahead), as do probes
+ * after 1, 2, 4, 8 and 16 s.
  */
 static void
 failing_worker(struct sys *sys)
@@ -153,36 +160,36 @@
 	    sys_load_start(sys, 0, 8, 1, "{\"run_ms\":100}");
 	int64_t before, after, other;
 
-	progress(load, 40);
+	wait_for_jobs(load, 40);
 	before = sys_total(sys, 0);
 	other = sys_total(sys, 1);
 	sys_mode(sys, 0, "fail=1");
-	progress(load, 200);
+	wait_for_jobs(load, 200);
 	after = sys_total(sys, 0) - before;
 	ck_assert_msg(after <= 24 && after * 2 < sys_total(sys, 1) - other,
 	    "%d starts at the failing worker, %d at another", (int)after,
 	    (int)(sys_total(sys, 1) - other));
-	/* A probe finds that it works again; before that it gets no more. */
+	/* The worker gets work again once a probe task has succeeded there. */
 	sys_mode(sys, 0, "fail=0");
 	before = sys_total(sys, 0);
 	while (sys_total(sys, 0) < before + 8)
-		progress(load, 20);
+		wait_for_jobs(load, 20);
 	sys_load_stop(load);
 }
 
 /*
- * More than a third of the workers must never be ejected.  24 requests at once
- * need all three workers of 4 slots that remain; with fewer, one of them may
- * rightly stay idle.
+ * At most a third of the workers may be ejected, so 2 of 3 failing workers stay
+ * in use.  24 concurrent jobs keep the 3 remaining workers of 4 slots busy; with
+ * fewer jobs one of them could be idle without a fault.
  */
 static void
 many_failing_workers(struct sys *sys)
 {
 	struct sys_load *load;
 	int64_t before[4];
-	int i, kept = 0;
+	int i, n_working = 0;
 
-	modes(sys, 0, 3, "fail=1");
+	set_modes(sys, 0, 3, "fail=1");
 	load = sys_load_start(sys, 0, 24, 1, "{\"run_ms\":50}");
 	ck_assert(hn_wait_until(
 	    sys_load_counts(load).failed >= 100, 2 * HN_LIMIT_MS));
@@ -191,10 +198,11 @@
 	ck_assert(hn_wait_until(
 	    sys_load_counts(load).failed >= 300, 2 * HN_LIMIT_MS));
 	for (i = 0; i < 3; i++)
-		kept += sys_total(sys, i) - before[i] > 10;
-	ck_assert_msg(kept == 2, "%d of 3 failing workers get work", kept);
-	modes(sys, 0, 3, "fail=0");
-	progress(load, 50);
+		n_working += sys_total(sys, i) - before[i] > 10;
+	ck_assert_msg(n_working == 2,
+	    "%d of 3 failing workers get work, expected 2", n_working);
+	set_modes(sys, 0, 3, "fail=0");
+	wait_for_jobs(load, 50);
 	sys_load_stop(load);
 }
 
@@ -203,9 +211,9 @@
 	"\"payload\":{}" task "}]}"
 
 static const struct {
-	const char *out; /* service taken out before */
+	const char *out; /* service to take out of service first */
 	const char *body, *error, *names;
-} never[] = {
+} refused_cases[] = {
     {NULL, JOB("desk", ",\"cores\":5"), "can_never_run", "5 cores"},
     {NULL, JOB("desk", ",\"memory_mb\":9999"), "can_never_run", "9999 MB"},
     {NULL, JOB("nobody", ""), "unknown_service", "nobody"},
@@ -223,9 +231,9 @@
 	struct hn_http *http;
 	size_t i;
 
-	for (i = 0; i < sizeof(never) / sizeof(never[0]); i++) {
-		if (never[i].out != out) {
-			out = never[i].out;
+	for (i = 0; i < sizeof(refused_cases) / sizeof(refused_cases[0]); i++) {
+		if (refused_cases[i].out != out) {
+			out = refused_cases[i].out;
 			http = hn_http("POST", sys_ops_url(sys, 0, "/v1/out"),
 			    hn_str("{\"kind\":\"service\",\"name\":\"%s\","
 				   "\"out\":true,\"change_id\":\"out-%zu\"}",
@@ -236,20 +244,21 @@
 		}
 		id = sys_mint(sys, 0);
 		http = hn_http_wait(
-		    sys_submit(sys, 0, id, never[i].body), HN_LIMIT_MS);
+		    sys_submit(sys, 0, id, refused_cases[i].body), HN_LIMIT_MS);
 		ck_assert_msg(
-		    strcmp(hn_json_str(http, "error"), never[i].error) == 0 &&
+		    strcmp(hn_json_str(http, "error"),
+			refused_cases[i].error) == 0 &&
 			strcmp(hn_json_str(http, "ran"), "not_run") == 0 &&
-			strstr(hn_json_str(http, "message"), never[i].names) !=
-			    NULL,
-		    "%s %s: %d %.200s", never[i].error, never[i].names,
-		    http->status, http->body);
+			strstr(hn_json_str(http, "message"),
+			    refused_cases[i].names) != NULL,
+		    "%s %s: %d %.200s", refused_cases[i].error,
+		    refused_cases[i].names, http->status, http->body);
 		ck_assert_int_eq(sys_starts(sys, id).total, 0);
 	}
 }
 
 static const char *
-declared(int n, int run_ms, int real_ms, int deadline_ms)
+deadline_body(int n, int run_ms, int real_ms, int deadline_ms)
 {
 	GString *tasks = g_string_new(NULL);
 	const char *body;
@@ -266,132 +275,151 @@
 	return body;
 }
 
-/* Once times are measured, declared ones decide nothing. */
+/*
+ * Once run times have been measured, admission by deadline must use them and
+ * ignore the declared run times.
+ */
 static void
 wrong_run_times(struct sys *sys)
 {
 	const char *id[2];
 	struct hn_http *http[2];
-	struct tally t;
+	struct answer_counts t;
 	int i;
 
-	/* Declared 10 minutes, needs 20 ms: not hopeless within a minute. */
+	/* Declared 10 minutes, takes 20 ms: a deadline of 1 minute is feasible. */
 	for (i = 0; i < 8; i++)
 		hn_http_wait(sys_submit(sys, 0, sys_mint(sys, 0),
-				 declared(16, 600000, 20, 3600000)),
+				 deadline_body(16, 600000, 20, 3600000)),
 		    HN_LIMIT_MS);
-	submit_all(sys, http, id, 2, declared(64, 600000, 20, 60000));
-	t = tally(sys, http, id, 2, 64);
+	submit_all(sys, http, id, 2, deadline_body(64, 600000, 20, 60000));
+	t = count_answers(sys, http, id, 2, 64);
 	ck_assert_int_eq(t.complete, 2);
-	/* Declared 1 ms, needs 1 s: 200 tasks on 8 slots keep 5 s hopeless. */
+	/*
+	 * Declared 1 ms, takes 1 s: 200 tasks on 8 slots take 25 s, so that a
+	 * deadline of 5 s is refused.
+	 */
 	for (i = 0; i < 4; i++)
 		hn_http_wait(sys_submit(sys, 0, sys_mint(sys, 0),
-				 declared(16, 1, 1000, 60000)),
+				 deadline_body(16, 1, 1000, 60000)),
 		    HN_LIMIT_MS);
 	http[0] = sys_submit(
-	    sys, 0, sys_mint(sys, 0), declared(200, 1, 1000, 600000));
+	    sys, 0, sys_mint(sys, 0), deadline_body(200, 1, 1000, 600000));
 	ck_assert(hn_wait_until(
 	    gauge(sys, 0, "sp_tasks_in_flight") >= 200, HN_LIMIT_MS));
-	submit_all(sys, http, id, 1, declared(1, 1, 1000, 5000));
+	submit_all(sys, http, id, 1, deadline_body(1, 1, 1000, 5000));
 	ck_assert_str_eq(
 	    hn_json_str(hn_http_wait(http[0], HN_LIMIT_MS), "error"),
 	    "deadline_too_short");
-	t = tally(sys, http, id, 1, 1);
+	t = count_answers(sys, http, id, 1, 1);
 	ck_assert_int_eq(t.not_run, 1);
 }
 
 /*
- * An entry that ends a running job at once on its cancellation would call a
- * task unknown whose outcome is on the way.  Only a lower bound of the time is
- * checked, which a busy machine cannot break.
+ * An entry waits CANCEL_GRACE_MS before it answers a cancelled job whose tasks
+ * run.  If it answered at once, a task whose outcome is in transit would be
+ * reported as unknown.  Only the lower bound is checked, since a busy machine
+ * can exceed any upper bound.
  */
 static void
 cancelled_job_waits(struct sys *sys)
 {
-	struct hn_http *http, *gone;
+	struct hn_http *http, *cancel;
 	const char *id;
-	int64_t before = starts(sys, 2), begun_us;
+	int64_t before = total_starts(sys, 2), cancelled_us;
 
-	modes(sys, 0, 2, "hang=1");
+	set_modes(sys, 0, 2, "hang=1");
 	submit_all(sys, &http, &id, 1, sys_body(1, "{}"));
-	ck_assert(hn_wait_until(starts(sys, 2) == before + 1, HN_LIMIT_MS));
-	begun_us = g_get_monotonic_time();
-	gone = hn_http_start(
+	ck_assert(
+	    hn_wait_until(total_starts(sys, 2) == before + 1, HN_LIMIT_MS));
+	cancelled_us = g_get_monotonic_time();
+	cancel = hn_http_start(
 	    "DELETE", sys_url(sys, 0, hn_str("/v1/jobs/%s", id)), NULL, NULL);
 	hn_http_wait(http, HN_LIMIT_MS);
 	ck_assert_int_ge(
-	    (g_get_monotonic_time() - begun_us) / 1000, CANCEL_GRACE_MS);
-	ck_assert_int_ne(hn_http_wait(gone, HN_LIMIT_MS)->status, 0);
-	modes(sys, 0, 2, "hang=0");
-	reaches(sys, "sp_starts_outstanding", 0);
+	    (g_get_monotonic_time() - cancelled_us) / 1000, CANCEL_GRACE_MS);
+	ck_assert_int_ne(hn_http_wait(cancel, HN_LIMIT_MS)->status, 0);
+	set_modes(sys, 0, 2, "hang=0");
+	assert_gauge_becomes(sys, "sp_starts_outstanding", 0);
 }
 
-/* What had not started when it was cancelled never does; slots come back. */
+/*
+ * Tasks that had not started when their job was cancelled never start, and the
+ * slots of cancelled tasks become free.
+ */
 static void
 cancellations(struct sys *sys)
 {
-	struct hn_http *http[JOBS], *gone[JOBS];
-	const char *id[JOBS];
-	struct tally t;
-	int64_t before = starts(sys, 2), started;
+	struct hn_http *http[N_JOBS], *cancels[N_JOBS];
+	const char *id[N_JOBS];
+	struct answer_counts t;
+	int64_t before = total_starts(sys, 2), started;
 	int i;
 
-	modes(sys, 0, 2, "hang=1");
-	submit_all(sys, http, id, JOBS, sys_body(1, "{}"));
-	reaches(sys, "sp_tasks_in_flight", JOBS);
-	ck_assert(hn_wait_until(starts(sys, 2) == before + 8, HN_LIMIT_MS));
-	for (i = 0; i < JOBS; i++)
-		gone[i] = hn_http_start("DELETE",
+	set_modes(sys, 0, 2, "hang=1");
+	submit_all(sys, http, id, N_JOBS, sys_body(1, "{}"));
+	assert_gauge_becomes(sys, "sp_tasks_in_flight", N_JOBS);
+	ck_assert(
+	    hn_wait_until(total_starts(sys, 2) == before + 8, HN_LIMIT_MS));
+	for (i = 0; i < N_JOBS; i++)
+		cancels[i] = hn_http_start("DELETE",
 		    sys_url(sys, 0, hn_str("/v1/jobs/%s", id[i])), NULL, NULL);
-	for (i = 0; i < JOBS; i++)
-		ck_assert_int_ne(hn_http_wait(gone[i], HN_LIMIT_MS)->status, 0);
+	for (i = 0; i < N_JOBS; i++)
+		ck_assert_int_ne(
+		    hn_http_wait(cancels[i], HN_LIMIT_MS)->status, 0);
 	/*
-	 * All but the 8 that run end while these still run; the entry gives
-	 * those up 250 ms after their cancellation.
+	 * Only the jobs of the 8 running tasks stay open, and the entry aborts
+	 * those 250 ms after their cancellation.
 	 */
-	falls_to(sys, "sp_tasks_in_flight", 8);
-	started = starts(sys, 2);
+	assert_gauge_falls_to(sys, "sp_tasks_in_flight", 8);
+	started = total_starts(sys, 2);
 	ck_assert_int_eq(started, before + 8);
-	modes(sys, 0, 2, "hang=0");
-	t = tally(sys, http, id, JOBS, 1);
-	ck_assert_msg(t.not_run == JOBS - 8,
+	set_modes(sys, 0, 2, "hang=0");
+	t = count_answers(sys, http, id, N_JOBS, 1);
+	ck_assert_msg(t.not_run == N_JOBS - 8,
 	    "%d complete, %d not run, %d failed", t.complete, t.not_run,
 	    t.failed);
-	ck_assert_int_eq(starts(sys, 2), started);
-	reaches(sys, "sp_starts_outstanding", 0);
+	ck_assert_int_eq(total_starts(sys, 2), started);
+	assert_gauge_becomes(sys, "sp_starts_outstanding", 0);
 	submit_all(sys, http, id, 8, sys_body(4, "{\"run_ms\":20}"));
-	t = tally(sys, http, id, 8, 4);
+	t = count_answers(sys, http, id, 8, 4);
 	ck_assert_int_eq(t.complete, 8);
 	cancelled_job_waits(sys);
 }
 
-/* Five times what slots and queue hold: refused at once or whole. */
+/*
+ * 800 tasks at once with a queue limit of 40: each job is refused or complete,
+ * and the entry's memory stays bounded.
+ */
 static void
 burst(struct sys *sys)
 {
-	struct hn_http *http[JOBS];
-	const char *id[JOBS], *pad = hn_str("%01000d", 0);
+	struct hn_http *http[N_JOBS];
+	const char *id[N_JOBS], *pad = hn_str("%01000d", 0);
 	long before = rss_kb(sys, 0);
-	struct tally t;
+	struct answer_counts t;
 	int round;
 
 	for (round = 0; round < 3; round++) {
-		submit_all(sys, http, id, JOBS,
+		submit_all(sys, http, id, N_JOBS,
 		    sys_body(
 			4, hn_str("{\"run_ms\":100,\"pad\":\"%s\"}", pad)));
 		ck_assert_int_le(
 		    gauge(sys, 0, "sp_tasks_in_flight"), 40 + 2 * (4 + 2));
-		t = tally(sys, http, id, JOBS, 4);
+		t = count_answers(sys, http, id, N_JOBS, 4);
 		ck_assert_msg(
 		    t.complete >= 10 && t.not_run > 0 && t.failed == 0,
 		    "%d complete, %d not run, %d failed", t.complete, t.not_run,
 		    t.failed);
 	}
-	ck_assert_msg(rss_kb(sys, 0) - before < RSS_MORE_KB,
+	ck_assert_msg(rss_kb(sys, 0) - before < RSS_GROWTH_MAX_KB,
 	    "%ld kB before, %ld kB after", before, rss_kb(sys, 0));
 }
 
-/* Work goes to the faster workers, and answers go on. */
+/*
+ * A worker at a twentieth of the normal speed gets less than a quarter of the
+ * tasks that a normal worker gets, and jobs keep completing.
+ */
 static void
 straggler(struct sys *sys)
 {
@@ -400,10 +428,10 @@
 
 	sys_mode(sys, 0, "speed=0.05");
 	load = sys_load_start(sys, 0, 8, 1, "{\"run_ms\":50}");
-	progress(load, 100);
+	wait_for_jobs(load, 100);
 	slow = sys_total(sys, 0);
 	fast = sys_total(sys, 1);
-	progress(load, 300);
+	wait_for_jobs(load, 300);
 	slow = sys_total(sys, 0) - slow;
 	fast = sys_total(sys, 1) - fast;
 	ck_assert_msg(slow * 4 < fast,
@@ -412,11 +440,12 @@
 }
 
 /*
- * While the store can't be read, the voters confirm the configuration.  New
- * work may be refused for a moment in between, but nothing admitted is lost.
+ * While the store is unavailable, the voters confirm that the configuration is
+ * current.  New jobs may be refused until they take over, but no admitted job
+ * may fail.
  */
 static void
-store_gone(struct sys *sys, const char *fault, const char *end)
+store_unavailable(struct sys *sys, const char *fault, const char *end)
 {
 	struct sys_load *load[2];
 	struct sys_load_counts c;
@@ -424,17 +453,17 @@
 
 	for (i = 0; i < 2; i++)
 		load[i] = sys_load_start(sys, i, 4, 2, "{\"run_ms\":200}");
-	progress(load[0], 4);
+	wait_for_jobs(load[0], 4);
 	sys_store(sys, fault);
 	hn_sleep(2LL * SYS_BOUND_MS);
 	for (i = 0; i < 2; i++)
-		progress(load[i], 20);
+		wait_for_jobs(load[i], 20);
 	sys_store(sys, end);
 	ck_assert(hn_wait_until(
 	    hn_json_int(sys_out(sys, 0, "domain-1", false), "version") >= 0,
 	    HN_LIMIT_MS));
 	for (i = 0; i < 2; i++) {
-		progress(load[i], 10);
+		wait_for_jobs(load[i], 10);
 		c = sys_load_stop(load[i]);
 		ck_assert_msg(c.failed + c.unknown + c.none == 0,
 		    "%d complete, %d failed, %d unknown, %d without answer",
@@ -445,27 +474,28 @@
 static void
 store_slow(struct sys *sys)
 {
-	store_gone(sys, "slow?ms=1500", "slow?ms=0");
+	store_unavailable(sys, "slow?ms=1500", "slow?ms=0");
 }
 
 static void
 store_down(struct sys *sys)
 {
-	store_gone(sys, "outage?mode=refuse", "outage?mode=off");
+	store_unavailable(sys, "outage?mode=refuse", "outage?mode=off");
 }
 
 static void
 store_hangs(struct sys *sys)
 {
-	store_gone(sys, "outage?mode=hang", "outage?mode=off");
+	store_unavailable(sys, "outage?mode=hang", "outage?mode=off");
 }
 
 /*
- * A limit of 5 shared by 2 entries is 3 at each: at most one task too many
- * runs, and a caller of one entry gets that entry's share.
+ * A limit of 5 shared by 2 entries is rounded up to 3 at each, so that at most
+ * one task more than the limit runs.  A caller of one entry gets no more than
+ * that entry's share.
  */
 static void
-limit_is_kept(
+check_shared_limit(
     struct sys *sys, const char *service, const char *team, const char *error)
 {
 	const char *body = hn_str("{\"service\":\"%s\",\"team\":\"%s\","
@@ -474,7 +504,7 @@
 	struct hn_http *http[2][6];
 	const char *id[2][6];
 	int64_t before = sys_total(sys, 0);
-	struct tally t;
+	struct answer_counts t;
 	int i, j;
 
 	for (i = 0; i < 2; i++)
@@ -494,7 +524,7 @@
 	    HN_LIMIT_MS));
 	sys_mode(sys, 0, "hang=0");
 	for (i = 0; i < 2; i++) {
-		t = tally(sys, http[i], id[i], 6, 1);
+		t = count_answers(sys, http[i], id[i], 6, 1);
 		ck_assert_msg(t.complete == 3 && t.not_run == 3,
 		    "entry %d: %d complete, %d not run, %d failed", i,
 		    t.complete, t.not_run, t.failed);
@@ -505,7 +535,7 @@
 		}
 	}
 	ck_assert_int_eq(sys_total(sys, 0), before + 6);
-	/* The share is free again. */
+	/* A new job completes once the share is released. */
 	ck_assert(hn_wait_until(
 	    hn_http_wait(
 		sys_submit(sys, 0, sys_mint(sys, 0), body), HN_LIMIT_MS)
@@ -516,13 +546,13 @@
 static void
 team_quota(struct sys *sys)
 {
-	limit_is_kept(sys, "desk", "small", "team_quota");
+	check_shared_limit(sys, "desk", "small", "team_quota");
 }
 
 static void
 service_limit(struct sys *sys)
 {
-	limit_is_kept(sys, "desk", "blue", "service_limit");
+	check_shared_limit(sys, "desk", "blue", "service_limit");
 }
 
 static const struct {
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -1,6 +1,6 @@
 /*
- * Guarantees 7 and 8: an endpoint that leaves gets no new work after a few
- * seconds, and a graceful shutdown interrupts no request in progress.
+ * Guarantees 7 and 8: an endpoint that stops or crashes gets no new work after
+ * a few seconds, and a graceful shutdown interrupts no request in progress.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 #include "runner.h"
 #include "system.h"
 
-#define ANNOUNCED_MS 3000 /* time to live of the endpoints' announcements */
+#define ANNOUNCEMENT_TTL_MS 3000 /* the default of standin_endpoint */
 
 struct run {
 	struct sys sys;
@@ -32,8 +32,8 @@
 	    HN_LIMIT_MS));
 }
 
-/* No request in progress may fail because an entry shuts down. */
-START_TEST(entry_terminated)
+/* After SIGTERM an entry completes its open jobs and refuses new ones. */
+START_TEST(terminated_entry_completes_jobs)
 {
 	struct sys_load_counts counts;
 	struct run run = {0};
@@ -48,7 +48,7 @@
 	    hn_wait_until(sys_starts(&run.sys, id).total == 2, HN_LIMIT_MS));
 	id = sys_mint(&run.sys, 0);
 	hn_signal(run.sys.entry[0].proc, SIGTERM);
-	/* Readiness fails first, so the balancer sends callers elsewhere. */
+	/* /readyz fails first, so that load balancers choose other entries. */
 	ck_assert(hn_wait_until(
 	    hn_http("GET", sys_url(&run.sys, 0, "/readyz"), NULL)->status !=
 		200,
@@ -117,9 +117,9 @@
 
 static const struct {
 	const char *name;
-	void (*leave)(struct run *run);
-	bool graceful;			  /* no request may suffer */
-	bool agent_exits, endpoint_exits; /* by themselves, with status 0 */
+	void (*stop_worker)(struct run *run);
+	bool graceful;			  /* no request may fail */
+	bool agent_exits, endpoint_exits; /* without SIGKILL, with status 0 */
 } rows[] = {
     {"agent terminated", term_agent, true, true, false},
     {"endpoint terminated", term_endpoint, true, false, true},
@@ -130,7 +130,7 @@
 };
 
 static struct sys_load_counts
-sum(const struct run *run)
+sum_counts(const struct run *run)
 {
 	struct sys_load_counts a = sys_load_counts(run->load[0]);
 	struct sys_load_counts b = sys_load_counts(run->load[1]);
@@ -142,38 +142,41 @@
 	    .none = a.none + b.none};
 }
 
-/* Work moves away from the worker that leaves and nothing else is harmed. */
-START_TEST(worker_leaves)
+/*
+ * A worker that stops or crashes gets no new tasks after the bound, and only
+ * jobs that had tasks running there may fail.
+ */
+START_TEST(stopped_worker_gets_no_work)
 {
-	struct sys_load_counts left, later;
+	struct sys_load_counts at_bound, later;
 	struct run run = {0};
 	int64_t total;
-	int lost;
+	int n_failed;
 
 	start(&run);
-	rows[_i].leave(&run);
+	rows[_i].stop_worker(&run);
 	if (rows[_i].agent_exits)
 		ck_assert_int_eq(
 		    hn_wait_exit(run.sys.agent[0].proc, 2 * HN_LIMIT_MS), 0);
-	hn_sleep(ANNOUNCED_MS + SYS_BOUND_MS);
+	hn_sleep(ANNOUNCEMENT_TTL_MS + SYS_BOUND_MS);
 	total = sys_total(&run.sys, 0);
-	left = sum(&run);
-	lost = left.failed + left.unknown;
+	at_bound = sum_counts(&run);
+	n_failed = at_bound.failed + at_bound.unknown;
 	if (rows[_i].graceful)
-		ck_assert_msg(lost + left.not_run + left.none == 0,
+		ck_assert_msg(n_failed + at_bound.not_run + at_bound.none == 0,
 		    "%s: %d complete, %d failed, %d unknown, %d not run, %d "
 		    "without answer",
-		    rows[_i].name, left.complete, left.failed, left.unknown,
-		    left.not_run, left.none);
+		    rows[_i].name, at_bound.complete, at_bound.failed,
+		    at_bound.unknown, at_bound.not_run, at_bound.none);
 	hn_sleep(4000);
 	ck_assert_msg(sys_total(&run.sys, 0) == total,
-	    "%s: new work after it left", rows[_i].name);
-	/* Only what ran there when it left may be lost. */
-	later = sum(&run);
-	ck_assert_msg(later.failed + later.unknown == lost,
-	    "%s: %d more jobs lost", rows[_i].name,
-	    later.failed + later.unknown - lost);
-	ck_assert_int_gt(later.complete, left.complete);
+	    "%s: tasks started there after the bound", rows[_i].name);
+	/* Jobs may fail only because of tasks that ran there at that time. */
+	later = sum_counts(&run);
+	ck_assert_msg(later.failed + later.unknown == n_failed,
+	    "%s: %d more jobs failed after the bound", rows[_i].name,
+	    later.failed + later.unknown - n_failed);
+	ck_assert_int_gt(later.complete, at_bound.complete);
 	if (rows[_i].endpoint_exits)
 		ck_assert_int_eq(
 		    hn_wait_exit(run.sys.agent[0].endpoint, 2 * HN_LIMIT_MS),
@@ -184,8 +187,8 @@
 }
 END_TEST
 
-/* A worker that comes back, also one that lost its memory, is used again. */
-START_TEST(worker_returns)
+/* A worker whose agent and endpoint were killed and restarted gets work. */
+START_TEST(restarted_worker_gets_work)
 {
 	struct run run = {0};
 
@@ -204,11 +207,12 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {entry_terminated, worker_returns};
-	int red = 0;
+	const TTest *const tests[] = {
+	    terminated_entry_completes_jobs, restarted_worker_gets_work};
+	int exit_code = 0;
 
-	red |= run_table("shutdown workers", worker_leaves,
+	exit_code |= run_table("shutdown workers", stopped_worker_gets_no_work,
 	    sizeof(rows) / sizeof(rows[0]), 240);
-	red |= run_tests("shutdown", tests, 2, 240);
-	return red;
+	exit_code |= run_tests("shutdown", tests, 2, 240);
+	return exit_code;
 }
--- a/tests/test_soak.c
+++ b/tests/test_soak.c
@@ -1,15 +1,15 @@
 /*
- * Random faults on the programs of the platform: processes are stopped,
- * killed, terminated and restarted by signals, connections are delayed, cut,
- * or frozen by a proxy, the store and the workers misbehave, configurations
- * change, in series and overlapping.  Clients send jobs all the while, each
- * again as the platform's do.
+ * Injects random faults, which may overlap, into entries and agents on the
+ * stand-in platform: processes are stopped, killed, terminated and restarted;
+ * connections are delayed, cut or frozen by a proxy; the store and the workers
+ * misbehave; configurations change.  Meanwhile clients submit jobs and resubmit
+ * them as the platform's clients do.
  *
- * Checked: no worker gets more than its capacity, no task runs twice at once,
- * a refused job has not run, every job ends, and the system serves again soon
- * after the last fault.
+ * Checks that no worker is given more than its capacity, no task runs twice at
+ * the same time, no task of a refused job has run, every job gets a final
+ * answer, and all entries complete jobs again soon after the last fault.
  *
- * SOAK_SEED=FIRST and SOAK_SEEDS=COUNT choose other seeds than those below.
+ * SOAK_SEED=FIRST and SOAK_SEEDS=COUNT select other seeds than those below.
  */
 #include <glib.h>
 #include <inttypes.h>
@@ -21,20 +21,21 @@
 #include "deployment.h"
 #include "runner.h"
 
-#define RUN_MS	      7000
-#define SETTLE_MS     20000
-#define STEP_MS	      10
-#define MAX_OPEN_JOBS 12
-#define JOB_GAP_MS    60 /* mean time between new jobs */
-#define RESEND_MS     1300
-#define DEADLINE_MS   6000
-#define FAULT_MIN_MS  200 /* between faults, and how long one lasts */
-#define FAULT_MAX_MS  1500
-#define MAX_FAULTS    64
+#define RUN_MS		     7000
+#define SETTLE_MS	     20000
+#define LOOP_INTERVAL_MS     10
+#define MAX_OPEN_JOBS	     12
+#define MEAN_JOB_INTERVAL_MS 60
+#define RESEND_MS	     1300
+#define DEADLINE_MS	     6000
+/* Range of a fault's duration and of the time between faults. */
+#define FAULT_MIN_MS 200
+#define FAULT_MAX_MS 1500
+#define MAX_FAULTS   64
 
 /*
- * Seeds of every run of the tests.  122, 126, 143, 145 and 147 failed once: a
- * start to a worker was carried out by its next incarnation.
+ * Default seeds.  122, 126, 143, 145 and 147 are regression tests: a start sent
+ * to a worker was carried out by the worker's next incarnation.
  */
 static const uint32_t fixed_seeds[] = {1, 2, 3, 122, 126, 143, 145, 147};
 
@@ -45,12 +46,12 @@
 	char *body;
 	int tries;
 	int64_t first_ms;
-	int64_t resend_at_ms; /* 0: waits for an answer */
+	int64_t resend_at_ms; /* 0: an answer is outstanding */
 };
 
 struct soak;
 
-/* A fault that has begun, and when it ends. */
+/* An active fault; end() undoes it at end_ms. */
 struct fault {
 	void (*end)(struct soak *soak, int target);
 	int target;
@@ -60,18 +61,19 @@
 struct soak {
 	struct dpl dpl;
 	GRand *rand;
-	struct job *open; /* list */
-	int n_open;
+	struct job *open_jobs; /* jobs without a final answer */
+	int n_open_jobs;
 	uint32_t last_id;
 	int completed, failed, refused, given_up;
 	int version;
 	int64_t start_ms;
 	struct fault faults[MAX_FAULTS];
 	int n_faults;
-	bool gone[DPL_ENTRIES + DPL_AGENTS]; /* stopped or not running */
+	/* By process number: stopped or not running. */
+	bool unavailable[DPL_ENTRIES + DPL_AGENTS];
 };
 
-/* Entries come before agents. */
+/* Processes are numbered from 0, entries before agents. */
 static struct hn_proc *
 process(struct soak *soak, int i)
 {
@@ -80,35 +82,35 @@
 }
 
 static void
-resume(struct soak *soak, int target)
+continue_process(struct soak *soak, int target)
 {
 	hn_signal(process(soak, target), SIGCONT);
-	soak->gone[target] = false;
+	soak->unavailable[target] = false;
 }
 
 static bool
-freeze(struct soak *soak, int target)
+pause_process(struct soak *soak, int target)
 {
-	if (soak->gone[target])
+	if (soak->unavailable[target])
 		return false;
-	soak->gone[target] = true;
+	soak->unavailable[target] = true;
 	hn_signal(process(soak, target), SIGSTOP);
 	return true;
 }
 
 static void
-restart(struct soak *soak, int target)
+restart_process(struct soak *soak, int target)
 {
 	hn_restart(process(soak, target));
-	soak->gone[target] = false;
+	soak->unavailable[target] = false;
 }
 
 static bool
 kill_process(struct soak *soak, int target)
 {
-	if (soak->gone[target])
+	if (soak->unavailable[target])
 		return false;
-	soak->gone[target] = true;
+	soak->unavailable[target] = true;
 	hn_kill(process(soak, target));
 	return true;
 }
@@ -117,23 +119,23 @@
 restart_terminated(struct soak *soak, int target)
 {
 	ck_assert_int_eq(hn_wait_exit(process(soak, target), HN_LIMIT_MS), 0);
-	restart(soak, target);
+	restart_process(soak, target);
 }
 
 static bool
-terminate(struct soak *soak, int target)
+terminate_process(struct soak *soak, int target)
 {
-	if (soak->gone[target])
+	if (soak->unavailable[target])
 		return false;
-	soak->gone[target] = true;
+	soak->unavailable[target] = true;
 	hn_signal(process(soak, target), SIGTERM);
 	return true;
 }
 
 static bool
-reload(struct soak *soak, int target)
+reload_settings(struct soak *soak, int target)
 {
-	if (!soak->gone[target])
+	if (!soak->unavailable[target])
 		hn_signal(process(soak, target), SIGHUP);
 	return true;
 }
@@ -145,14 +147,14 @@
 }
 
 static void
-store_up(struct soak *soak, int target)
+restore_store(struct soak *soak, int target)
 {
 	(void)target;
 	dpl_control(&soak->dpl, "GET", "mode?store=up", NULL);
 }
 
 static bool
-store_down(struct soak *soak, int target)
+stop_store(struct soak *soak, int target)
 {
 	(void)target;
 	dpl_control(&soak->dpl, "GET", "mode?store=down", NULL);
@@ -160,63 +162,63 @@
 }
 
 static void
-orders_prompt(struct soak *soak, int target)
+clear_late_orders(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "late", 0);
 }
 
 static bool
-orders_late(struct soak *soak, int target)
+set_late_orders(struct soak *soak, int target)
 {
 	set_mode(soak, "late", 5 + target * 5);
 	return true;
 }
 
 static void
-worker_works(struct soak *soak, int target)
+clear_worker_failure(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "fail", -1);
 }
 
 static bool
-worker_fails(struct soak *soak, int target)
+set_worker_failure(struct soak *soak, int target)
 {
 	set_mode(soak, "fail", target % DPL_AGENTS);
 	return true;
 }
 
 static void
-worker_goes_on(struct soak *soak, int target)
+clear_worker_stall(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "stall", -1);
 }
 
 static bool
-worker_stalls(struct soak *soak, int target)
+set_worker_stall(struct soak *soak, int target)
 {
 	set_mode(soak, "stall", target % DPL_AGENTS);
 	return true;
 }
 
 static void
-worker_answers(struct soak *soak, int target)
+clear_worker_silence(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "mute", -1);
 }
 
 static bool
-worker_is_silent(struct soak *soak, int target)
+set_worker_silence(struct soak *soak, int target)
 {
 	set_mode(soak, "mute", target % DPL_AGENTS);
 	return true;
 }
 
 static bool
-worker_crashes(struct soak *soak, int target)
+crash_worker(struct soak *soak, int target)
 {
 	set_mode(soak, "crash", target % DPL_AGENTS);
 	return true;
@@ -231,21 +233,21 @@
 }
 
 static void
-domain_back(struct soak *soak, int target)
+restore_domain(struct soak *soak, int target)
 {
 	dpl_control(&soak->dpl, "DELETE",
 	    hn_str("key?key=op/evacuate/z%d", target % DPL_AGENTS), NULL);
 }
 
 static bool
-domain_out(struct soak *soak, int target)
+take_domain_out(struct soak *soak, int target)
 {
 	dpl_control(&soak->dpl, "PUT",
 	    hn_str("key?key=op/evacuate/z%d", target % DPL_AGENTS), "{}");
 	return true;
 }
 
-/* Targets count through the paths that exist. */
+/* A target number maps to a path and to an entry or agent on it. */
 static enum dpl_path
 path_of(int target)
 {
@@ -262,7 +264,7 @@
 }
 
 static void
-path_whole(struct soak *soak, int target)
+restore_path(struct soak *soak, int target)
 {
 	dpl_fault(
 	    &soak->dpl, path_of(target), path_index(target), "", "restore", 0);
@@ -271,7 +273,7 @@
 }
 
 static bool
-path_cut(struct soak *soak, int target)
+cut_path(struct soak *soak, int target)
 {
 	dpl_fault(
 	    &soak->dpl, path_of(target), path_index(target), "", "cut", 0);
@@ -279,7 +281,7 @@
 }
 
 static bool
-path_delayed(struct soak *soak, int target)
+delay_path(struct soak *soak, int target)
 {
 	dpl_fault(&soak->dpl, path_of(target), path_index(target), "", "delay",
 	    20 * (1 + target));
@@ -287,7 +289,7 @@
 }
 
 static bool
-path_frozen(struct soak *soak, int target)
+freeze_path(struct soak *soak, int target)
 {
 	static const char *const directions[] = {"both", "up", "down"};
 
@@ -296,47 +298,51 @@
 	return true;
 }
 
-/* end is NULL for faults that are over at once; begin is false for none. */
+/*
+ * begin() returns false when the fault cannot be injected into the target.
+ * end() is NULL for faults without a duration.
+ */
 static const struct {
 	const char *name;
 	bool (*begin)(struct soak *soak, int target);
 	void (*end)(struct soak *soak, int target);
-} kinds[] = {
-    {"process frozen", freeze, resume},
-    {"process killed", kill_process, restart},
-    {"process terminated", terminate, restart_terminated},
-    {"reload", reload, NULL},
-    {"store down", store_down, store_up},
-    {"orders late", orders_late, orders_prompt},
-    {"worker fails", worker_fails, worker_works},
-    {"worker stalls", worker_stalls, worker_goes_on},
-    {"worker silent", worker_is_silent, worker_answers},
-    {"worker crashes", worker_crashes, NULL},
+} fault_kinds[] = {
+    {"process frozen", pause_process, continue_process},
+    {"process killed", kill_process, restart_process},
+    {"process terminated", terminate_process, restart_terminated},
+    {"reload", reload_settings, NULL},
+    {"store down", stop_store, restore_store},
+    {"orders late", set_late_orders, clear_late_orders},
+    {"worker fails", set_worker_failure, clear_worker_failure},
+    {"worker stalls", set_worker_stall, clear_worker_stall},
+    {"worker silent", set_worker_silence, clear_worker_silence},
+    {"worker crashes", crash_worker, NULL},
     {"new configuration", configure, NULL},
-    {"domain out", domain_out, domain_back},
-    {"connections cut", path_cut, path_whole},
-    {"path delayed", path_delayed, path_whole},
-    {"path frozen", path_frozen, path_whole},
+    {"domain out", take_domain_out, restore_domain},
+    {"connections cut", cut_path, restore_path},
+    {"path delayed", delay_path, restore_path},
+    {"path frozen", freeze_path, restore_path},
 };
 
 static void
 begin_fault(struct soak *soak)
 {
 	size_t kind =
-	    (size_t)g_rand_int_range(soak->rand, 0, G_N_ELEMENTS(kinds));
+	    (size_t)g_rand_int_range(soak->rand, 0, G_N_ELEMENTS(fault_kinds));
 	int target = g_rand_int_range(soak->rand, 0, DPL_ENTRIES + DPL_AGENTS);
 	int64_t lasts_ms =
 	    g_rand_int_range(soak->rand, FAULT_MIN_MS, FAULT_MAX_MS);
 
-	if (!kinds[kind].begin(soak, target))
+	if (!fault_kinds[kind].begin(soak, target))
 		return;
 	printf("%8" PRId64 " ms %s, target %d, for %" PRId64 " ms\n",
-	    hn_now_ms() - soak->start_ms, kinds[kind].name, target, lasts_ms);
-	if (kinds[kind].end == NULL)
+	    hn_now_ms() - soak->start_ms, fault_kinds[kind].name, target,
+	    lasts_ms);
+	if (fault_kinds[kind].end == NULL)
 		return;
 	ck_assert_int_lt(soak->n_faults, MAX_FAULTS);
-	soak->faults[soak->n_faults++] =
-	    (struct fault){kinds[kind].end, target, hn_now_ms() + lasts_ms};
+	soak->faults[soak->n_faults++] = (struct fault){
+	    fault_kinds[kind].end, target, hn_now_ms() + lasts_ms};
 }
 
 static void
@@ -393,13 +399,13 @@
 	snprintf(job->id, sizeof(job->id), "%016x", ++soak->last_id);
 	job->body = job_body(soak);
 	job->first_ms = hn_now_ms();
-	job->next = soak->open;
-	soak->open = job;
-	soak->n_open++;
+	job->next = soak->open_jobs;
+	soak->open_jobs = job;
+	soak->n_open_jobs++;
 	send_job(soak, job);
 }
 
-/* A refusal of a job that no entry had before says that nothing has run. */
+/* No task may have started when the first submission of a job is refused. */
 static void
 check_refusal(struct soak *soak, const struct job *job)
 {
@@ -408,13 +414,16 @@
 
 	if (job->tries == 1)
 		ck_assert_msg(hn_json_int(starts, "starts") == 0,
-		    "job %s was refused with %d and has run", job->id,
+		    "job %s was refused with %d, but a task started", job->id,
 		    job->http->status);
 }
 
-/* Takes the answer of a job's last try; true when the job has ended. */
+/*
+ * Handles the answer to a job's latest submission; returns true when the job
+ * needs no further one.
+ */
 static bool
-take_answer(struct soak *soak, struct job *job)
+handle_answer(struct soak *soak, struct job *job)
 {
 	int status = job->http->status;
 
@@ -441,38 +450,38 @@
 }
 
 static bool
-step_job(struct soak *soak, struct job *job)
+poll_job(struct soak *soak, struct job *job)
 {
 	if (job->resend_at_ms != 0) {
 		if (hn_now_ms() >= job->resend_at_ms)
 			send_job(soak, job);
 		return false;
 	}
-	return job->http->done && take_answer(soak, job);
+	return job->http->done && handle_answer(soak, job);
 }
 
 static bool
-step_jobs(struct soak *soak)
+poll_jobs(struct soak *soak)
 {
-	struct job **link = &soak->open;
+	struct job **link = &soak->open_jobs;
 
 	while (*link != NULL) {
 		struct job *job = *link;
 
-		if (!step_job(soak, job)) {
+		if (!poll_job(soak, job)) {
 			link = &job->next;
 			continue;
 		}
 		*link = job->next;
-		soak->n_open--;
+		soak->n_open_jobs--;
 		g_free(job->body);
 		g_free(job);
 	}
-	return soak->open == NULL;
+	return soak->open_jobs == NULL;
 }
 
 static void
-play(struct soak *soak)
+run_workload(struct soak *soak)
 {
 	int64_t end_ms = (soak->start_ms = hn_now_ms()) + RUN_MS;
 	int64_t fault_ms = hn_now_ms() + FAULT_MIN_MS;
@@ -486,13 +495,14 @@
 					      FAULT_MIN_MS, FAULT_MAX_MS);
 		}
 		end_faults(soak, false);
-		if (hn_now_ms() >= job_ms && soak->n_open < MAX_OPEN_JOBS) {
+		if (hn_now_ms() >= job_ms &&
+		    soak->n_open_jobs < MAX_OPEN_JOBS) {
 			new_job(soak);
 			job_ms = hn_now_ms() + g_rand_int_range(soak->rand, 0,
-						   2 * JOB_GAP_MS);
+						   2 * MEAN_JOB_INTERVAL_MS);
 		}
-		step_jobs(soak);
-		hn_sleep(STEP_MS);
+		poll_jobs(soak);
+		hn_sleep(LOOP_INTERVAL_MS);
 	}
 }
 
@@ -517,14 +527,15 @@
 	fflush(stdout);
 	soak.rand = g_rand_new_with_seed(seed);
 	dpl_start(&soak.dpl, &(struct dpl_options){.proxied = true});
-	play(&soak);
+	run_workload(&soak);
 	end_faults(&soak, true);
-	ck_assert_msg(hn_wait_until(step_jobs(&soak), SETTLE_MS),
-	    "seed %u: %d jobs without an end", seed, soak.n_open);
+	ck_assert_msg(hn_wait_until(poll_jobs(&soak), SETTLE_MS),
+	    "seed %u: %d jobs without a final answer", seed, soak.n_open_jobs);
 	for (i = 0; i < DPL_ENTRIES; i++)
 		ck_assert_msg(
 		    hn_wait_until(dpl_accepts(&soak.dpl, i), SETTLE_MS),
-		    "seed %u: entry %d does not serve again", seed, i);
+		    "seed %u: entry %d completes no job after the last fault",
+		    seed, i);
 	check_counts(&soak);
 	printf("soak seed %u: %d completed, %d failed, %d refused, %d given "
 	       "up\n",
--- a/tests/test_start_once.c
+++ b/tests/test_start_once.c
@@ -1,7 +1,7 @@
 /*
- * Guarantees 1 and 6: a task starts at most once, a request marked
- * non-idempotent runs at most once, whatever fails and however often the
- * caller submits again.
+ * Guarantees 1 and 6: a task starts at most once, and a request marked as not
+ * idempotent runs at most once, whichever process or connection fails and
+ * however often the caller resubmits.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -11,12 +11,12 @@
 #include "system.h"
 
 #define N_TASKS	 6
-#define PAUSE_MS 4500 /* past freshness_ms and silence_ms */
+#define PAUSE_MS 4500 /* more than freshness_ms and silence_ms */
 
 struct run {
 	struct sys sys;
 	const char *id, *body;
-	struct hn_http *http; /* the first submission, or the request */
+	struct hn_http *http; /* the request, or the first submission */
 };
 
 typedef void (*step_fn)(struct run *run);
@@ -31,42 +31,42 @@
 		again[i] = sys_submit(&run->sys, i % 2, run->id, run->body);
 	for (i = 0; i < 10; i++) {
 		hn_http_wait(again[i], HN_LIMIT_MS);
-		ck_assert_msg(again[i]->status == 200, "copy %d: %d %s", i,
-		    again[i]->status, again[i]->body);
+		ck_assert_msg(again[i]->status == 200, "resubmission %d: %d %s",
+		    i, again[i]->status, again[i]->body);
 	}
 }
 
 static void
-lose_reply(struct run *run)
+drop_caller_reply(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_listen,
 	    "action=drop&direction=down&match=PUT");
 }
 
 static void
-silence_caller(struct run *run)
+freeze_caller_connection(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_listen,
 	    "action=freeze&scope=existing");
 }
 
 static void
-silence_agents(struct run *run)
+freeze_agent_connections(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
 	    "action=freeze&scope=existing");
 }
 
-/* START goes into a connection that both ends will give up. */
+/* Holds back START on connections that both ends time out and replace. */
 static void
-hold_starts(struct run *run)
+freeze_starts(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
 	    "action=freeze&scope=existing&direction=down");
 }
 
 static void
-hold_results(struct run *run)
+freeze_results(struct run *run)
 {
 	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
 	    "action=freeze&scope=existing&direction=up");
@@ -80,14 +80,14 @@
 }
 
 static void
-lose_results(struct run *run)
+drop_results(struct run *run)
 {
 	sys_rule(
 	    &run->sys, run->sys.entry[0].far_rpc, "action=drop&direction=up");
 }
 
 static void
-cut_agents(struct run *run)
+cut_agent_connections(struct run *run)
 {
 	sys_rule(
 	    &run->sys, run->sys.entry[0].far_rpc, "action=cut&scope=existing");
@@ -131,28 +131,28 @@
 }
 
 static void
-silence_and_pause_entry(struct run *run)
+freeze_agents_and_pause_entry(struct run *run)
 {
-	silence_agents(run);
+	freeze_agent_connections(run);
 	pause_entry(run);
 	sys_rule(&run->sys, 0, "action=release");
 }
 
 static void
-hold_and_restart_agent(struct run *run)
+restart_agent_and_release(struct run *run)
 {
 	restart_agent(run);
 	release_late(run);
 }
 
 static void
-hold_and_restart_entry(struct run *run)
+restart_entry_and_release(struct run *run)
 {
 	restart_entry(run);
 	release_late(run);
 }
 
-/* Leaves the connection between the entries, which the copies need. */
+/* Cuts only agents' connections: resubmissions use the one between entries. */
 static void
 cut_and_resubmit(struct run *run)
 {
@@ -163,28 +163,29 @@
 
 static const struct {
 	const char *name;
-	step_fn before; /* the submission */
-	step_fn during; /* once accepted */
-	bool started;	/* wait for the first start before "during" */
-	bool completes; /* the job must complete nevertheless */
+	step_fn before; /* before the first submission */
+	step_fn during; /* after the job was accepted */
+	bool started;	/* call during() only after the first start */
+	bool completes; /* the job must complete in spite of the fault */
 } rows[] = {
     {"resubmitted in parallel", NULL, resubmit_in_parallel, false, true},
-    {"reply lost", lose_reply, NULL, false, true},
-    {"caller's connection silent", NULL, silence_caller, true, true},
-    {"connection silent", NULL, silence_agents, true, true},
-    {"silent from before START", silence_agents, NULL, false, true},
-    {"START delivered late", hold_starts, release_late, false, true},
-    {"results delivered late", hold_results, release_late, true, true},
-    {"results lost", NULL, lose_results, true, true},
-    {"connection cut", NULL, cut_agents, true, true},
+    {"reply lost", drop_caller_reply, NULL, false, true},
+    {"caller's connection silent", NULL, freeze_caller_connection, true, true},
+    {"connection silent", NULL, freeze_agent_connections, true, true},
+    {"silent from before START", freeze_agent_connections, NULL, false, true},
+    {"START delivered late", freeze_starts, release_late, false, true},
+    {"results delivered late", freeze_results, release_late, true, true},
+    {"results lost", NULL, drop_results, true, true},
+    {"connection cut", NULL, cut_agent_connections, true, true},
     {"entry killed and restarted", NULL, restart_entry, true, false},
     {"entry paused", NULL, pause_entry, true, false},
     {"agents paused", NULL, pause_agents, true, false},
     {"agent killed and restarted", NULL, restart_agent, true, false},
-    {"silent and entry paused", NULL, silence_and_pause_entry, true, false},
-    {"START late and agent restarted", hold_starts, hold_and_restart_agent,
+    {"silent and entry paused", NULL, freeze_agents_and_pause_entry, true,
+	false},
+    {"START late and agent restarted", freeze_starts, restart_agent_and_release,
 	false, false},
-    {"START late and entry restarted", hold_starts, hold_and_restart_entry,
+    {"START late and entry restarted", freeze_starts, restart_entry_and_release,
 	false, false},
     {"cut and resubmitted", NULL, cut_and_resubmit, true, true},
 };
@@ -199,7 +200,7 @@
 		    sys_result_task(http, i), hn_str("%s/%d", run->id, i));
 }
 
-/* The answer must be true of what the endpoints counted. */
+/* Both entries' answers must agree with the starts that endpoints counted. */
 static void
 check_job(struct run *run, int row)
 {
@@ -229,7 +230,7 @@
 			    "%s: not_run but %d starts", name, count.total);
 		}
 	}
-	/* Nothing may start later either. */
+	/* No task may start after the answer. */
 	hn_sleep(1000);
 	ck_assert_int_eq(sys_starts(&run->sys, run->id).most, count.most);
 	ck_assert_int_eq(sys_starts(&run->sys, run->id).total, count.total);
@@ -264,8 +265,8 @@
 }
 END_TEST
 
-/* A request that must not run twice is never sent to a second endpoint. */
-START_TEST(request_runs_once)
+/* A request that is not idempotent is never sent to a second endpoint. */
+START_TEST(non_idempotent_request_runs_once)
 {
 	static const char *const headers[] = {"Sequoiaplank-Team: " SYS_TEAM,
 	    "Sequoiaplank-Idempotent: false", NULL};
@@ -277,8 +278,8 @@
 	run.id = sys_mint(&run.sys, 0);
 	run.body = "{\"run_ms\":600}";
 	before = sys_total(&run.sys, 0) + sys_total(&run.sys, 1);
-	/* The caller's own connection is not part of this test. */
-	if (rows[_i].before != NULL && rows[_i].before != lose_reply)
+	/* This request bypasses the proxy between caller and entry. */
+	if (rows[_i].before != NULL && rows[_i].before != drop_caller_reply)
 		rows[_i].before(&run);
 	run.http = hn_http_start("POST",
 	    sys_url(&run.sys, 0, "/v1/services/" SYS_SERVICE "/order"), headers,
@@ -306,8 +307,11 @@
 }
 END_TEST
 
-/* An id that the owner no longer remembers must never start again. */
-START_TEST(old_id_is_refused)
+/*
+ * A job that is resubmitted after job_retention_s is refused: its owner no
+ * longer has its outcome and must not start it a second time.
+ */
+START_TEST(expired_id_is_refused)
 {
 	struct sys sys;
 	struct hn_http *http;
@@ -332,13 +336,13 @@
 		ck_assert_str_ne(hn_json_str(http, "ran"), "not_run");
 	}
 	ck_assert_int_eq(sys_starts(&sys, id).most, 1);
-	/* A later id that was never used still works. */
+	/* An unused id issued later is still accepted. */
 	ck_assert_int_eq(sys_settle(&sys, 1, unused, body)->status, 200);
 	hn_finish();
 }
 END_TEST
 
-/* The same id with another body is another job, which must not run. */
+/* A second job with the id of an existing job but another body is refused. */
 START_TEST(other_body_conflicts)
 {
 	struct sys sys;
@@ -368,11 +372,13 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {old_id_is_refused, other_body_conflicts};
-	int n = sizeof(rows) / sizeof(rows[0]), red = 0;
-
-	red |= run_table("start_once jobs", job_starts_once, n, 240);
-	red |= run_table("start_once requests", request_runs_once, n, 240);
-	red |= run_tests("start_once ids", tests, 2, 240);
-	return red;
+	const TTest *const tests[] = {
+	    expired_id_is_refused, other_body_conflicts};
+	int n = sizeof(rows) / sizeof(rows[0]), exit_code = 0;
+
+	exit_code |= run_table("start_once jobs", job_starts_once, n, 240);
+	exit_code |= run_table(
+	    "start_once requests", non_idempotent_request_runs_once, n, 240);
+	exit_code |= run_tests("start_once ids", tests, 2, 240);
+	return exit_code;
 }
