--- a/tests/harness.h
+++ b/tests/harness.h
@@ -34,8 +34,8 @@
  */
 int hn_wait_exit(struct hn_proc *proc, int64_t limit_ms);
 /*
- * Returns true if the process's log contains the text.  Tests must not decide
- * pass or fail by it, since log texts may change.
+ * Returns true if the process's log contains the text.  Tests must not pass or
+ * fail because of a log text.
  */
 bool hn_log_contains(const struct hn_proc *proc, const char *text);
 
@@ -49,7 +49,7 @@
 const char *hn_write(const char *name, const char *text);
 /* Formats like printf() into a string that the harness owns. */
 const char *hn_str(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
-/* Kills all processes and removes hn_dir(); call at the end of a passed test. */
+/* Kills all processes and removes hn_dir(); call when a test has passed. */
 void hn_finish(void);
 
 /* Runs the main loop for ms milliseconds. */
--- a/tests/system.c
+++ b/tests/system.c
@@ -6,7 +6,7 @@
 #include "system.h"
 
 #define CLUSTER_KEY   "test-cluster-key"
-#define LOAD_MAX_JOBS 1000 /* the most ids that one request returns */
+#define LOAD_MAX_JOBS 1000 /* one request gets the ids of a load */
 #define LOAD_POLL_MS  5
 
 static void
--- a/tests/system.h
+++ b/tests/system.h
@@ -19,7 +19,7 @@
 struct sys_options {
 	int entries, agents, domains;
 	int slots;   /* of each endpoint; 0 means 8 */
-	bool direct; /* no proxy: far_ ports equal the real ports */
+	bool direct; /* no proxy: its ports equal the real ones */
 	/* Further JSON members, ",\"key\":value...", or NULL. */
 	const char *entry_settings;
 	const char *agent_settings;
@@ -64,16 +64,16 @@
 /* Starts n more agents; settings as in sys_options.agent_settings, or NULL. */
 void sys_add_agents(struct sys *sys, int n, const char *settings);
 /*
- * Submits a configuration text as the version after "expected"; returns true
- * if it was accepted.
+ * Submits a configuration text that replaces the version "expected", 0 for the
+ * first.  Returns true if it was accepted.
  */
 bool sys_apply(struct sys *sys, int entry, const char *text, int64_t expected);
-/* Submits jobs of one task to the entry until one completes. */
+/* Submits jobs of one task until one completes; false on time-out. */
 bool sys_wait_work(struct sys *sys, int entry, int64_t limit_ms);
 
 /*
- * Sets a rule of the fault proxy; pair is a far_ port, or 0 for all.  An invalid
- * rule aborts the test.
+ * Sets a rule of the fault proxy; pair is one of an entry's proxy ports, or 0
+ * for all.  An invalid rule aborts the test.
  */
 void sys_rule(struct sys *sys, uint16_t pair, const char *query);
 /* Calls /control/CONTROL of standin_store. */
@@ -102,7 +102,7 @@
 
 /* Starts of a job's tasks, summed over all endpoints that answer. */
 struct sys_count {
-	int total, tasks, most; /* most: starts of the most started task */
+	int total, tasks, most; /* most: of the task started most often */
 };
 struct sys_count sys_starts(struct sys *sys, const char *id);
 /* Returns the count of all starts at one endpoint, -1 when it is down. */
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -227,15 +227,16 @@
 static const struct {
 	const char *name, *body, *error;
 } refused_jobs[] = {
-    {"no JSON", "{\"service\":", "bad_request"},
+    {"malformed JSON", "{\"service\":", "bad_request"},
     {"unknown key",
 	"{\"service\":\"desk\",\"team\":\"blue\",\"x\":1,\"tasks\":[" TASK "]}",
 	"bad_request"},
-    {"no task", JOB("desk", "blue", ""), "bad_request"},
+    {"no tasks", JOB("desk", "blue", ""), "bad_request"},
     {"unknown service", JOB("nobody", "blue", TASK), "unknown_service"},
     {"unknown team", JOB("desk", "nobody", TASK), "unknown_team"},
     {"no endpoint", JOB("absent", "blue", TASK), "no_endpoint"},
-    {"dependency", JOB("needs-absent", "blue", TASK), "dependency_unavailable"},
+    {"dependency without an endpoint", JOB("needs-absent", "blue", TASK),
+	"dependency_unavailable"},
     {"larger than any worker",
 	JOB("desk", "blue", "{\"payload\":{},\"cores\":65}"), "can_never_run"},
     {"over the quota",
@@ -276,7 +277,7 @@
 	}
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, "0-0-0", sys_body(1, "{}")), HN_LIMIT_MS);
-	check_refused(&sys, "no valid id", http, "0-0-0", NULL);
+	check_refused(&sys, "invalid id", http, "0-0-0", NULL);
 	id = sys_mint(&sys, 0);
 	id = hn_str("%.*s%c", (int)strlen(id) - 1, id,
 	    id[strlen(id) - 1] == '0' ? '1' : '0');
@@ -339,7 +340,7 @@
 			check_own_results(http[i], id[i], 10);
 			n_complete++;
 		} else {
-			check_refused(&sys, "full", http[i], id[i], NULL);
+			check_refused(&sys, "queue full", http[i], id[i], NULL);
 			n_refused++;
 		}
 	}
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -134,7 +134,7 @@
 		sys_mode(sys, i, query);
 }
 
-/* Waits until the given number of further jobs completed. */
+/* Waits until the given number of further jobs has completed. */
 static void
 wait_for_jobs(struct sys_load *load, int more)
 {
@@ -148,8 +148,8 @@
 }
 
 /*
- * A worker whose tasks fail immediately looks idle and fast and must not attract
- * work.  Ejection takes up to 10 failures in a window of 20.  Tasks that were
+ * A worker whose tasks fail immediately looks idle and fast and must not
+ * attract work.  Ejection takes up to 10 failures in a window of 20.  Tasks
  * sent before the ejection still start (4 slots, 2 sent ahead), as do probes
  * after 1, 2, 4, 8 and 16 s.
  */
@@ -179,8 +179,8 @@
 
 /*
  * At most a third of the workers may be ejected, so 2 of 3 failing workers stay
- * in use.  24 concurrent jobs keep the 3 remaining workers of 4 slots busy; with
- * fewer jobs one of them could be idle without a fault.
+ * in use.  24 concurrent jobs keep the 3 remaining workers of 4 slots busy;
+ * with fewer jobs one of them could be idle without a fault.
  */
 static void
 many_failing_workers(struct sys *sys)
@@ -287,7 +287,7 @@
 	struct answer_counts t;
 	int i;
 
-	/* Declared 10 minutes, takes 20 ms: a deadline of 1 minute is feasible. */
+	/* Declared 10 minutes, takes 20 ms: 1 minute is a feasible deadline. */
 	for (i = 0; i < 8; i++)
 		hn_http_wait(sys_submit(sys, 0, sys_mint(sys, 0),
 				 deadline_body(16, 600000, 20, 3600000)),
@@ -441,8 +441,8 @@
 
 /*
  * While the store is unavailable, the voters confirm that the configuration is
- * current.  New jobs may be refused until they take over, but no admitted job
- * may fail.
+ * current.  New jobs may be refused until the voters take over, but no
+ * admitted job may fail.
  */
 static void
 store_unavailable(struct sys *sys, const char *fault, const char *end)
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -143,8 +143,9 @@
 }
 
 /*
- * A worker that stops or crashes gets no new tasks after the bound, and only
- * jobs that had tasks running there may fail.
+ * A worker that stops or crashes gets no new tasks once its announcement has
+ * expired and SYS_BOUND_MS has passed.  Only jobs with tasks running there may
+ * fail.
  */
 START_TEST(stopped_worker_gets_no_work)
 {
@@ -171,7 +172,7 @@
 	hn_sleep(4000);
 	ck_assert_msg(sys_total(&run.sys, 0) == total,
 	    "%s: tasks started there after the bound", rows[_i].name);
-	/* Jobs may fail only because of tasks that ran there at that time. */
+	/* Jobs fail only if they had tasks there, so none fails from now on. */
 	later = sum_counts(&run);
 	ck_assert_msg(later.failed + later.unknown == n_failed,
 	    "%s: %d more jobs failed after the bound", rows[_i].name,
--- a/tests/test_soak.c
+++ b/tests/test_soak.c
@@ -162,14 +162,14 @@
 }
 
 static void
-clear_late_orders(struct soak *soak, int target)
+clear_request_delay(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "late", 0);
 }
 
 static bool
-set_late_orders(struct soak *soak, int target)
+delay_worker_requests(struct soak *soak, int target)
 {
 	set_mode(soak, "late", 5 + target * 5);
 	return true;
@@ -307,12 +307,12 @@
 	bool (*begin)(struct soak *soak, int target);
 	void (*end)(struct soak *soak, int target);
 } fault_kinds[] = {
-    {"process frozen", pause_process, continue_process},
+    {"process paused", pause_process, continue_process},
     {"process killed", kill_process, restart_process},
     {"process terminated", terminate_process, restart_terminated},
     {"reload", reload_settings, NULL},
     {"store down", stop_store, restore_store},
-    {"orders late", set_late_orders, clear_late_orders},
+    {"worker requests delayed", delay_worker_requests, clear_request_delay},
     {"worker fails", set_worker_failure, clear_worker_failure},
     {"worker stalls", set_worker_stall, clear_worker_stall},
     {"worker silent", set_worker_silence, clear_worker_silence},
