--- a/include/sequoiaplank.h
+++ b/include/sequoiaplank.h
@@ -17,7 +17,8 @@
 
 enum sp_result {
 	SP_OK = 0,
-	SP_INVALID = 1, /* invalid settings or text; message gives key, place */
+	/* The settings or the text are invalid; the message says where. */
+	SP_INVALID = 1,
 	SP_UNAVAILABLE = 2, /* an address can't be listened on */
 	SP_INTERRUPTED = 3  /* requests still ran after drain_timeout_ms */
 };
--- a/src/version/change.c
+++ b/src/version/change.c
@@ -235,8 +235,8 @@
 		return;
 	}
 	/*
-	 * A peer sent a newer document meanwhile, or the store lost a write
-	 * that it had confirmed.
+	 * This entry holds a newer document than the store returned: a peer
+	 * sent it meanwhile, or the store lost a write that it had confirmed.
 	 */
 	if ((base == NULL ? 0 : cfg_version(base)) <
 	    fresh_version(chg->opts.fresh)) {
--- a/src/version/draft.h
+++ b/src/version/draft.h
@@ -5,8 +5,8 @@
 #include "voters.h"
 
 /*
- * Builds the document that results from a change to the current one; uses
- * nothing but its input.
+ * Builds the document that results from a change to the current one.  The
+ * functions are pure: they keep no state and do no I/O.
  */
 
 enum drf_kind {
--- a/src/version/fresh.c
+++ b/src/version/fresh.c
@@ -70,9 +70,9 @@
 }
 
 /*
- * Advances the confirmation time.  The version held may be higher than the one
- * confirmed: as nothing above the confirmed version was accepted at as_of_ms,
- * nothing above the version held was.
+ * Advances the confirmation time.  This also confirms a version held that is
+ * higher than the given one: no version above the given one was accepted at
+ * as_of_ms, so none above the version held was either.
  */
 void
 fresh_confirm(struct fresh *fresh, uint64_t version, int64_t as_of_ms)
--- a/src/version/mirror.h
+++ b/src/version/mirror.h
@@ -25,8 +25,8 @@
 	const char *prefix;  /* copied */
 	/*
 	 * Longest time that the store delays the answer to a watch without
-	 * changes.  After a watch that got no answer, the next one uses another
-	 * connection.
+	 * changes.  If the answer has not arrived shortly after this time, the
+	 * watch fails and the next one uses another connection.
 	 */
 	int64_t wait_ms;
 	/*
--- a/src/version/quorum.c
+++ b/src/version/quorum.c
@@ -185,11 +185,12 @@
 }
 
 /*
- * Confirms by a majority of the last voter set, none of which holds more than
- * the version held here.  A later version is accepted only when a majority of
- * this set holds it, since each document keeps the voter sets of its
- * predecessors until one of these is accepted; two majorities share a voter.
- * So no later version was accepted when the oldest of the answers was requested.
+ * Confirms if a majority of the last voter set reported no higher version than
+ * the one held here.  A later version is accepted only when a majority of this
+ * set holds it, since each document keeps the voter sets of its predecessors
+ * until one of these documents is accepted; two majorities share a voter.
+ * So no later version was accepted when the oldest of the answers was
+ * requested.
  */
 static struct quo_confirmation
 confirm_by_voters(const struct quo *quo, const struct cfg *held, int64_t now_ms)
@@ -211,8 +212,8 @@
 		    !is_recent(quo, state, now_ms))
 			continue;
 		/*
-		 * This voter reaches the store, so only store reads may
-		 * confirm.
+		 * While a voter reaches the store, its store read confirms; see
+		 * confirm_by_store().
 		 */
 		if (has_store_contact(quo, state, now_ms))
 			break;
--- a/src/version/voters.c
+++ b/src/version/voters.c
@@ -62,8 +62,9 @@
 }
 
 /*
- * Picks the eligible entry of the domain with the lowest incarnation.  As all
- * entries pick the same one, few of them try to write.
+ * Picks the eligible entry of the domain with the lowest incarnation.  An entry
+ * proposes itself as a voter only if it is picked, and all entries pick the
+ * same one, so few of them write at the same time.
  */
 static const struct mem_entry *
 find_candidate(const struct vot_input *in, const char *domain)
--- a/src/version/voters.h
+++ b/src/version/voters.h
@@ -7,8 +7,8 @@
 #include "members.h"
 
 /*
- * Computes the voter sets of the document that follows another one; uses
- * nothing but its input.
+ * Computes the voter sets of the document that follows another one.  vot_next()
+ * is pure: it keeps no state and does no I/O.
  */
 
 typedef bool (*vot_is_deregistered_fn)(uint64_t incarnation, void *ctx);
--- a/tests/test_change.c
+++ b/tests/test_change.c
@@ -298,8 +298,8 @@
 END_TEST
 
 /*
- * Guards against a gap at the start of a store outage, until the answers of
- * peers confirm the configuration: its age must stay below the limit.
+ * Guards against a gap at the start of a store outage: the age of the
+ * configuration must stay below the limit until peers' answers confirm it.
  */
 START_TEST(outage_start_leaves_no_confirmation_gap)
 {
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -147,7 +147,7 @@
 
 static const struct {
 	const char *name;
-	/* Run before the change, after it, and after the checks. */
+	/* Called before the change, after it and after the checks, if set. */
 	step_fn before, after, restore;
 	int run_ms;
 } rows[] = {
@@ -156,7 +156,7 @@
     {"agent cut off", cut_agent_connections, NULL, restore_connections, 200},
     {"agent's connections silent", freeze_agent_connections, NULL,
 	restore_connections, 200},
-    {"agent far away", delay_agent_messages, NULL, restore_connections, 200},
+    {"slow agent link", delay_agent_messages, NULL, restore_connections, 200},
     {"agent paused", stop_agent, NULL, resume_agent, 900},
     {"entry paused", stop_entry, NULL, resume_entry, 900},
     {"entry and agent paused", stop_both, NULL, resume_both, 900},
@@ -167,7 +167,7 @@
 	restore_connections, 200},
     {"entry's store connection silent", freeze_store_connection, NULL,
 	restore_connections, 200},
-    {"entry reads late", delay_store_replies, NULL, restore_connections, 200},
+    {"slow store link", delay_store_replies, NULL, restore_connections, 200},
     {"entry killed before, restarted after", kill_entry, restart_entry, NULL,
 	200},
 };
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -93,8 +93,8 @@
 
 /*
  * Guards against a configuration that is changed or confirmed by a store that
- * returns an older version, a malformed document or no key.  The next higher
- * version must be adopted again.
+ * returns an older version, a malformed document or no key.  A valid document
+ * with a higher version must be adopted afterwards.
  */
 START_TEST(invalid_store_data_confirms_nothing)
 {
