--- a/bench/bench_system.c
+++ b/bench/bench_system.c
@@ -180,7 +180,7 @@
 	sent->id = mint(load->jobs[job].entry);
 	run.open++;
 	call_send("PUT",
-	    sys_far_url(
+	    sys_proxied_url(
 		&sys, entry, hn_str("/v1/jobs/%s?wait_ms=120000", sent->id)),
 	    body, on_answer, sent);
 	g_free(body);
@@ -415,7 +415,7 @@
 	int i;
 
 	for (i = 0; i < WORKERS; i += DOMAINS)
-		sum += MAX(sys_total(&sys, i), 0);
+		sum += MAX(sys_endpoint_starts(&sys, i), 0);
 	return sum;
 }
 
@@ -434,7 +434,8 @@
 static void
 set_speed(int agent)
 {
-	sys_mode(&sys, agent, hn_str("speed=%.4f", load->speed[agent]));
+	sys_set_endpoint_mode(
+	    &sys, agent, hn_str("speed=%.4f", load->speed[agent]));
 }
 
 static void
@@ -453,7 +454,7 @@
 
 	work.away = true;
 	spctl("out");
-	sleep_until(LEAVE_MS + SYS_BOUND_MS);
+	sleep_until(LEAVE_MS + SYS_CONFIG_BOUND_MS);
 	counted = starts_in_domain_0();
 	sleep_until(RETURN_MS);
 	violations.after_out += (int)(starts_in_domain_0() - counted);
@@ -482,7 +483,7 @@
 		hn_restart(sys.agent[i].endpoint);
 	}
 	for (i = 0; i < WORKERS; i += DOMAINS) {
-		hn_wait_until(sys_total(&sys, i) >= 0, LIMIT_MS);
+		hn_wait_until(sys_endpoint_starts(&sys, i) >= 0, LIMIT_MS);
 		set_speed(i);
 	}
 	work.away = false;
@@ -529,16 +530,17 @@
 		set_speed(i);
 	workload_free(load);
 	for (i = 0; i < DOMAINS; i++) {
-		sys_rule(&sys, sys.entry[i].far_listen, "action=delay&ms=3");
+		sys_set_proxy_rule(
+		    &sys, sys.entry[i].proxied_listen, "action=delay&ms=3");
 		/* 1.5 ms each way; the proxy delays by whole milliseconds. */
 		for (d = 0; d < DOMAINS; d++) {
 			if (d == i)
 				continue;
-			sys_rule(&sys, sys.entry[i].far_rpc,
+			sys_set_proxy_rule(&sys, sys.entry[i].proxied_rpc,
 			    hn_str("action=delay&direction=up&ms=1"
 				   "&match=domain-%d",
 				d));
-			sys_rule(&sys, sys.entry[i].far_rpc,
+			sys_set_proxy_rule(&sys, sys.entry[i].proxied_rpc,
 			    hn_str("action=delay&direction=down&ms=2"
 				   "&match=domain-%d",
 				d));
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -42,7 +42,8 @@
 	    (int)http->took_ms);
 	for (i = 0; i < sys->opts.agents; i++)
 		printf("  %s in %s ran %d tasks\n", sys->agent[i].name,
-		    sys->agent[i].domain, (int)(sys_total(sys, i) - before[i]));
+		    sys->agent[i].domain,
+		    (int)(sys_endpoint_starts(sys, i) - before[i]));
 }
 
 int
@@ -65,8 +66,8 @@
 	if (code == EXIT_SUCCESS) {
 		sys_wait_ready(&sys);
 		for (i = 0; i < 4; i++)
-			before[i] = sys_total(&sys, i);
-		id = sys_mint(&sys, 0);
+			before[i] = sys_endpoint_starts(&sys, i);
+		id = sys_new_job_id(&sys, 0);
 		printf("submitting %d tasks of 100 ms\n", N_TASKS);
 		http = hn_http_wait(sys_submit(&sys, 0, id,
 					sys_body(N_TASKS, "{\"run_ms\":100}")),
--- a/tests/deployment.c
+++ b/tests/deployment.c
@@ -66,7 +66,7 @@
 }
 
 bool
-dpl_accepts(const struct dpl *dpl, int entry)
+dpl_completes_job(const struct dpl *dpl, int entry)
 {
 	static int n;
 	struct hn_http *http = hn_http("POST",
@@ -159,11 +159,12 @@
 	for (i = 0; i < DPL_ENTRIES; i++)
 		start_entry(dpl, i);
 	for (i = 0; i < DPL_ENTRIES; i++)
-		ck_assert(hn_wait_until(dpl_accepts(dpl, i), HN_LIMIT_MS));
+		ck_assert(
+		    hn_wait_until(dpl_completes_job(dpl, i), HN_LIMIT_MS));
 }
 
 void
-dpl_fault(const struct dpl *dpl, enum dpl_path path, int index,
+dpl_set_fault(const struct dpl *dpl, enum dpl_path path, int index,
     const char *direction, const char *action, int ms)
 {
 	hn_http("POST",
--- a/tests/deployment.h
+++ b/tests/deployment.h
@@ -46,9 +46,9 @@
 /* The operator writes a configuration with one queue. */
 void dpl_configure(const struct dpl *dpl, int version, const char *prefix);
 /* Whether the entry completes a job with more tasks than one worker holds. */
-bool dpl_accepts(const struct dpl *dpl, int entry);
+bool dpl_completes_job(const struct dpl *dpl, int entry);
 /* Sets a rule of the fault proxy for a path; direction "" is both. */
-void dpl_fault(const struct dpl *dpl, enum dpl_path path, int index,
+void dpl_set_fault(const struct dpl *dpl, enum dpl_path path, int index,
     const char *direction, const char *action, int ms);
 
 #endif
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -16,7 +16,7 @@
  * up to 256 MB of freed memory in each, which would count as held.
  */
 static inline void
-limit_quarantine(void)
+limit_asan_quarantine(void)
 {
 	setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
 }
--- a/tests/system.c
+++ b/tests/system.c
@@ -25,10 +25,10 @@
 }
 
 const char *
-sys_far_url(struct sys *sys, int entry, const char *path)
+sys_proxied_url(struct sys *sys, int entry, const char *path)
 {
 	return hn_str(
-	    "http://127.0.0.1:%u%s", sys->entry[entry].far_listen, path);
+	    "http://127.0.0.1:%u%s", sys->entry[entry].proxied_listen, path);
 }
 
 const char *
@@ -40,7 +40,7 @@
 
 /* Changes the faults of the proxy; an unknown rule aborts the test. */
 void
-sys_rule(struct sys *sys, uint16_t pair, const char *query)
+sys_set_proxy_rule(struct sys *sys, uint16_t pair, const char *query)
 {
 	const char *url = hn_str(
 	    "http://127.0.0.1:%u/?pair=%u&%s", sys->proxy_control, pair, query);
@@ -50,7 +50,7 @@
 
 /* Sends a control request to the store stand-in. */
 void
-sys_store(struct sys *sys, const char *control)
+sys_store_control(struct sys *sys, const char *control)
 {
 	const char *url = hn_str(
 	    "http://127.0.0.1:%u/control/%s", sys->store_control, control);
@@ -60,7 +60,7 @@
 
 /* Changes how an endpoint behaves. */
 void
-sys_mode(struct sys *sys, int agent, const char *query)
+sys_set_endpoint_mode(struct sys *sys, int agent, const char *query)
 {
 	const char *url = hn_str("http://127.0.0.1:%u/control/mode?%s",
 	    sys->agent[agent].endpoint_port, query);
@@ -76,7 +76,7 @@
 
 	sys->store_port = hn_port();
 	for (i = 0; i < sys->opts.entries; i++)
-		sys->entry[i].far_store =
+		sys->entry[i].proxied_store =
 		    sys->opts.direct ? sys->store_port : hn_port();
 	sys->store_control = hn_port();
 	sys->proxy_control = hn_port();
@@ -88,9 +88,9 @@
 	for (i = 0; i < sys->opts.entries; i++) {
 		struct sys_entry *e = &sys->entry[i];
 
-		argv[n++] = hn_str("%u=%u", e->far_listen, e->listen);
-		argv[n++] = hn_str("%u=%u", e->far_rpc, e->rpc);
-		argv[n++] = hn_str("%u=%u", e->far_store, sys->store_port);
+		argv[n++] = hn_str("%u=%u", e->proxied_listen, e->listen);
+		argv[n++] = hn_str("%u=%u", e->proxied_rpc, e->rpc);
+		argv[n++] = hn_str("%u=%u", e->proxied_store, sys->store_port);
 	}
 	if (!sys->opts.direct) {
 		sys->proxy = hn_start("proxy", argv);
@@ -124,8 +124,8 @@
 		   "\"rpc_address\":\"127.0.0.1:%u\","
 		   "\"store\":\"http://127.0.0.1:%u\","
 		   "\"cluster_key\":\"" KEY "\"%s}\n",
-		e->name, e->domain, e->listen, e->operators, e->rpc, e->far_rpc,
-		e->far_store, extra != NULL ? extra : ""));
+		e->name, e->domain, e->listen, e->operators, e->rpc,
+		e->proxied_rpc, e->proxied_store, extra != NULL ? extra : ""));
 
 	e->proc = hn_start(
 	    e->name, (const char *[]){"spentryd", "--settings", path, NULL});
@@ -139,7 +139,7 @@
 
 	for (i = 0; i < sys->opts.entries; i++)
 		list = hn_str("%s%s\"127.0.0.1:%u\"", list, i > 0 ? "," : "",
-		    sys->entry[i].far_rpc);
+		    sys->entry[i].proxied_rpc);
 	return list;
 }
 
@@ -231,8 +231,8 @@
 		e->listen = hn_port();
 		e->operators = hn_port();
 		e->rpc = hn_port();
-		e->far_listen = opts->direct ? e->listen : hn_port();
-		e->far_rpc = opts->direct ? e->rpc : hn_port();
+		e->proxied_listen = opts->direct ? e->listen : hn_port();
+		e->proxied_rpc = opts->direct ? e->rpc : hn_port();
 	}
 	start_store_and_proxy(sys);
 	for (i = 0; i < opts->entries; i++)
@@ -260,13 +260,13 @@
 	if (strstr(http->body, hn_str("\nsp_agents_connected %d\n", n)) == NULL)
 		return false;
 	for (i = 0; i < n; i++)
-		before[i] = sys_total(sys, i);
+		before[i] = sys_endpoint_starts(sys, i);
 	http =
-	    hn_http_wait(sys_submit(sys, entry, sys_mint(sys, entry),
+	    hn_http_wait(sys_submit(sys, entry, sys_new_job_id(sys, entry),
 			     sys_body(n * sys->opts.slots, "{\"run_ms\":50}")),
 		HN_LIMIT_MS);
 	for (i = 0; i < n; i++)
-		got += sys_total(sys, i) > before[i];
+		got += sys_endpoint_starts(sys, i) > before[i];
 	return http->status == 200 && got == n;
 }
 
@@ -297,11 +297,11 @@
 
 /* Waits until a job through the entry completes. */
 bool
-sys_wait_work(struct sys *sys, int entry, int64_t limit_ms)
+sys_wait_job_completes(struct sys *sys, int entry, int64_t limit_ms)
 {
 	return hn_wait_until(
-	    hn_http_wait(
-		sys_submit(sys, entry, sys_mint(sys, entry), sys_body(1, "{}")),
+	    hn_http_wait(sys_submit(sys, entry, sys_new_job_id(sys, entry),
+			     sys_body(1, "{}")),
 		HN_LIMIT_MS)
 		    ->status == 200,
 	    limit_ms);
@@ -309,7 +309,7 @@
 
 /* Returns a new id, or one that is invalid when the entry gives none. */
 const char *
-sys_mint(struct sys *sys, int entry)
+sys_new_job_id(struct sys *sys, int entry)
 {
 	struct hn_http *http =
 	    hn_http("POST", sys_url(sys, entry, "/v1/ids"), "{\"count\":1}");
@@ -347,7 +347,8 @@
 
 /* Resubmits like a caller that wants to know the outcome. */
 struct hn_http *
-sys_settle(struct sys *sys, int entry, const char *id, const char *body)
+sys_submit_until_final(
+    struct sys *sys, int entry, const char *id, const char *body)
 {
 	struct hn_http *http = NULL;
 
@@ -384,7 +385,7 @@
 
 /* Adds up the starts that all live endpoints counted for a job's tasks. */
 struct sys_count
-sys_starts(struct sys *sys, const char *id)
+sys_job_starts(struct sys *sys, const char *id)
 {
 	GHashTable *tasks =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -418,14 +419,14 @@
 
 /* Returns an endpoint's count of all starts, -1 when it does not answer. */
 int64_t
-sys_total(struct sys *sys, int agent)
+sys_endpoint_starts(struct sys *sys, int agent)
 {
 	return hn_json_int(endpoint_counts(sys, agent, "?summary=1"), "total");
 }
 
 /* Asks an entry to take a domain out or in, with a change id of its own. */
 struct hn_http *
-sys_out(struct sys *sys, int entry, const char *domain, bool out)
+sys_set_domain_out(struct sys *sys, int entry, const char *domain, bool out)
 {
 	static int n;
 
@@ -516,7 +517,8 @@
 	} else if (strcmp(ran, "not_run") == 0) {
 		load->counts.not_run++;
 		expect(
-		    sys_starts(load->sys, load->caller_id[caller]).total == 0,
+		    sys_job_starts(load->sys, load->caller_id[caller]).total ==
+			0,
 		    "a job answered with not_run was started");
 	} else if (strcmp(ran, "failed") == 0) {
 		load->counts.failed++;
@@ -601,7 +603,7 @@
 	}
 	for (i = 0; i < (int)load->complete->len; i += 17) {
 		struct sys_count count =
-		    sys_starts(load->sys, load->complete->pdata[i]);
+		    sys_job_starts(load->sys, load->complete->pdata[i]);
 
 		expect(count.most <= 1, "a task was started at two endpoints");
 	}
--- a/tests/system.h
+++ b/tests/system.h
@@ -13,7 +13,7 @@
 #define SYS_SERVICE "desk"
 #define SYS_TEAM    "blue"
 /* No process starts work under an old configuration after this. */
-#define SYS_BOUND_MS 5000
+#define SYS_CONFIG_BOUND_MS 5000
 
 struct sys_options {
 	int entries, agents, domains;
@@ -28,9 +28,9 @@
 	struct hn_proc *proc;
 	const char *name, *domain;
 	uint16_t listen, operators, rpc;
-	uint16_t far_listen; /* caller's side of the proxy */
-	uint16_t far_rpc;    /* agents' and peers' side of the proxy */
-	uint16_t far_store;  /* this entry's way to the store */
+	uint16_t proxied_listen; /* caller's side of the proxy */
+	uint16_t proxied_rpc;	 /* agents' and peers' side of the proxy */
+	uint16_t proxied_store;	 /* this entry's way to the store */
 };
 
 struct sys_agent {
@@ -58,27 +58,27 @@
 /* Submits a text as a new version; returns whether it was accepted. */
 bool sys_apply(struct sys *sys, int entry, const char *text, int64_t expected);
 /* Waits until a job of one entry completes again. */
-bool sys_wait_work(struct sys *sys, int entry, int64_t limit_ms);
+bool sys_wait_job_completes(struct sys *sys, int entry, int64_t limit_ms);
 
 /* Sets a rule of the proxy; pair is a far_ port, or 0 for all. */
-void sys_rule(struct sys *sys, uint16_t pair, const char *query);
-void sys_store(struct sys *sys, const char *control);
-void sys_mode(struct sys *sys, int agent, const char *query);
+void sys_set_proxy_rule(struct sys *sys, uint16_t pair, const char *query);
+void sys_store_control(struct sys *sys, const char *control);
+void sys_set_endpoint_mode(struct sys *sys, int agent, const char *query);
 
 /* URLs; the far one leads through the proxy. */
 const char *sys_url(struct sys *sys, int entry, const char *path);
-const char *sys_far_url(struct sys *sys, int entry, const char *path);
+const char *sys_proxied_url(struct sys *sys, int entry, const char *path);
 const char *sys_ops_url(struct sys *sys, int entry, const char *path);
 
 /* A new submission id of an entry. */
-const char *sys_mint(struct sys *sys, int entry);
+const char *sys_new_job_id(struct sys *sys, int entry);
 /* A body of n tasks with this payload. */
 const char *sys_body(int n, const char *payload);
 /* Starts a submission that waits for the answer. */
 struct hn_http *sys_submit(
     struct sys *sys, int entry, const char *id, const char *body);
 /* Repeats the submission until an answer is final: not 202, 503 or none. */
-struct hn_http *sys_settle(
+struct hn_http *sys_submit_until_final(
     struct sys *sys, int entry, const char *id, const char *body);
 
 /* The task id in the endpoint's answer at this place of the results. */
@@ -88,12 +88,12 @@
 struct sys_count {
 	int total, tasks, most; /* most: of one task */
 };
-struct sys_count sys_starts(struct sys *sys, const char *id);
+struct sys_count sys_job_starts(struct sys *sys, const char *id);
 /* All starts at one endpoint. */
-int64_t sys_total(struct sys *sys, int agent);
+int64_t sys_endpoint_starts(struct sys *sys, int agent);
 
 /* Takes a failure domain out or brings it back; returns the answer. */
-struct hn_http *sys_out(
+struct hn_http *sys_set_domain_out(
     struct sys *sys, int entry, const char *domain, bool out);
 int64_t sys_version(struct sys *sys, int entry); /* -1: no answer */
 bool sys_is_out(struct sys *sys, int entry, const char *domain);
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -59,7 +59,7 @@
 
 	opts.entry_settings = failing[_i].entry_settings;
 	sys_start(&sys, &opts);
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	body = mixed_body(failing[_i].n, failing[_i].payload);
 	if (failing[_i].status == 0)
 		body = hn_str("{\"deadline_ms\":3000,%s", body + 1);
@@ -73,14 +73,14 @@
 	ck_assert_str_ne(hn_json_str(http, "ran"), "not_run");
 	if (failing[_i].ran != NULL)
 		ck_assert_str_eq(hn_json_str(http, "ran"), failing[_i].ran);
-	count = sys_starts(&sys, id);
+	count = sys_job_starts(&sys, id);
 	ck_assert_int_le(count.most, 1);
 	/* The outcome stays and nothing starts any more. */
 	hn_sleep(500);
-	again = sys_settle(&sys, 1, id, body);
+	again = sys_submit_until_final(&sys, 1, id, body);
 	ck_assert_int_eq(again->status, http->status);
 	ck_assert_str_eq(hn_json_str(again, "ran"), hn_json_str(http, "ran"));
-	ck_assert_int_le(sys_starts(&sys, id).total, count.total);
+	ck_assert_int_le(sys_job_starts(&sys, id).total, count.total);
 	hn_finish();
 }
 END_TEST
@@ -94,21 +94,22 @@
 	struct sys sys;
 
 	sys_start(&sys, &two);
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	first = sys_submit(&sys, 0, id, sys_body(200, "{\"run_ms\":1000}"));
-	ck_assert(hn_wait_until(sys_starts(&sys, id).total > 0, HN_LIMIT_MS));
+	ck_assert(
+	    hn_wait_until(sys_job_starts(&sys, id).total > 0, HN_LIMIT_MS));
 	/* Through the other entry, as a caller behind the balancer would. */
 	hn_http("DELETE", sys_url(&sys, 1, hn_str("/v1/jobs/%s", id)), NULL);
 	hn_http_wait(first, HN_LIMIT_MS);
 	ck_assert_msg(
 	    first->status == 502, "%d %.200s", first->status, first->body);
 	ck_assert_str_eq(hn_json_str(first, "error"), "cancelled");
-	count = sys_starts(&sys, id);
+	count = sys_job_starts(&sys, id);
 	ck_assert_int_lt(count.total, 200);
 	ck_assert_int_eq(count.most, 1);
 	hn_sleep(3000);
-	ck_assert_int_eq(sys_starts(&sys, id).total, count.total);
-	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
+	ck_assert_int_eq(sys_job_starts(&sys, id).total, count.total);
+	ck_assert(sys_wait_job_completes(&sys, 0, HN_LIMIT_MS));
 	hn_finish();
 }
 END_TEST
@@ -140,13 +141,13 @@
 	struct sys sys;
 
 	sys_start(&sys, &two);
-	id = sys_mint(&sys, 1);
+	id = sys_new_job_id(&sys, 1);
 	/* Forwarded by the entry that does not own it. */
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, id, sys_body(1300, "{\"run_ms\":1}")),
 	    2 * HN_LIMIT_MS);
 	check_own_results(http, id, 1300);
-	ck_assert_int_eq(sys_starts(&sys, id).most, 1);
+	ck_assert_int_eq(sys_job_starts(&sys, id).most, 1);
 	hn_finish();
 }
 END_TEST
@@ -161,7 +162,7 @@
 
 	sys_start(&sys, &two);
 	for (i = 0; i < 8; i++) {
-		id[i] = sys_mint(&sys, i % 2);
+		id[i] = sys_new_job_id(&sys, i % 2);
 		http = sys_submit(&sys, i / 4, id[i], body);
 		ck_assert(hn_wait_until(
 		    hn_http("GET",
@@ -171,9 +172,9 @@
 		hn_http_cancel(http);
 	}
 	for (i = 0; i < 8; i++) {
-		http = sys_settle(&sys, (i + 1) % 2, id[i], body);
+		http = sys_submit_until_final(&sys, (i + 1) % 2, id[i], body);
 		check_own_results(http, id[i], 4);
-		ck_assert_int_eq(sys_starts(&sys, id[i]).most, 1);
+		ck_assert_int_eq(sys_job_starts(&sys, id[i]).most, 1);
 	}
 	hn_finish();
 }
@@ -194,20 +195,20 @@
 
 	sys_start(&sys, &two);
 	for (i = 0; i < JOBS; i++) {
-		id[i] = sys_mint(&sys, 0);
+		id[i] = sys_new_job_id(&sys, 0);
 		http[i] = sys_submit(&sys, 0, id[i],
 		    sys_body(3, hn_str("{\"run_ms\":%d}",
 				    g_rand_int_range(rand, 10, 800))));
 		if (i == JOBS / 3)
-			sys_rule(&sys, sys.entry[0].far_rpc,
+			sys_set_proxy_rule(&sys, sys.entry[0].proxied_rpc,
 			    "action=freeze&scope=existing&direction=up");
 	}
 	hn_sleep(4000);
-	sys_rule(&sys, 0, "action=release");
+	sys_set_proxy_rule(&sys, 0, "action=release");
 	for (i = 0; i < JOBS; i++) {
 		hn_http_wait(http[i], HN_LIMIT_MS);
 		check_own_results(http[i], id[i], 3);
-		ck_assert_int_eq(sys_starts(&sys, id[i]).most, 1);
+		ck_assert_int_eq(sys_job_starts(&sys, id[i]).most, 1);
 	}
 	g_rand_free(rand);
 	hn_finish();
@@ -247,7 +248,7 @@
 			  (error == NULL ||
 			      strcmp(hn_json_str(http, "error"), error) == 0),
 	    "%s: %d %.200s", name, http->status, http->body);
-	ck_assert_msg(sys_starts(sys, id).total == 0,
+	ck_assert_msg(sys_job_starts(sys, id).total == 0,
 	    "%s: refused as not run, but it started", name);
 }
 
@@ -261,9 +262,9 @@
 	size_t i;
 
 	sys_start(&sys, &two);
-	before = sys_total(&sys, 0) + sys_total(&sys, 1);
+	before = sys_endpoint_starts(&sys, 0) + sys_endpoint_starts(&sys, 1);
 	for (i = 0; i < sizeof(refused) / sizeof(refused[0]); i++) {
-		id = sys_mint(&sys, i % 2);
+		id = sys_new_job_id(&sys, i % 2);
 		http = hn_http_wait(
 		    sys_submit(&sys, 0, id, refused[i].body), HN_LIMIT_MS);
 		check_refused(
@@ -272,24 +273,26 @@
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, "0-0-0", sys_body(1, "{}")), HN_LIMIT_MS);
 	check_refused(&sys, "no valid id", http, "0-0-0", NULL);
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	id = hn_str("%.*s%c", (int)strlen(id) - 1, id,
 	    id[strlen(id) - 1] == '0' ? '1' : '0');
 	http = hn_http_wait(
 	    sys_submit(&sys, 1, id, sys_body(1, "{}")), HN_LIMIT_MS);
 	check_refused(&sys, "forged id", http, id, NULL);
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, id, sys_body(3000, "{}")), HN_LIMIT_MS);
 	check_refused(&sys, "too many tasks", http, id, "too_many_tasks");
-	ck_assert_int_eq(sys_total(&sys, 0) + sys_total(&sys, 1), before);
+	ck_assert_int_eq(
+	    sys_endpoint_starts(&sys, 0) + sys_endpoint_starts(&sys, 1),
+	    before);
 
 	/* With the service busy for minutes a short deadline is hopeless. */
 	for (i = 0; i < 8; i++)
-		busy[i] = sys_submit(&sys, 0, sys_mint(&sys, 0),
+		busy[i] = sys_submit(&sys, 0, sys_new_job_id(&sys, 0),
 		    sys_body(100, "{\"run_ms\":8000}"));
 	hn_sleep(500);
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	http = hn_http_wait(
 	    sys_submit(&sys, 0, id,
 		"{\"deadline_ms\":1,\"service\":\"desk\",\"team\":\"blue\","
@@ -322,7 +325,7 @@
 	    "\"teams\":[{\"name\":\"blue\"}]}";
 	sys_start(&sys, &opts);
 	for (i = 0; i < JOBS; i++)
-		id[i] = sys_mint(&sys, 0);
+		id[i] = sys_new_job_id(&sys, 0);
 	for (i = 0; i < JOBS; i++)
 		http[i] = sys_submit(&sys, 0, id[i], body);
 	for (i = 0; i < JOBS; i++) {
--- a/tests/test_bad_input.c
+++ b/tests/test_bad_input.c
@@ -166,7 +166,7 @@
 	    rss_kb(hn_pid(sys.entry[0].proc)) - before[0], RSS_MORE_KB);
 	ck_assert_int_lt(
 	    rss_kb(hn_pid(sys.agent[0].proc)) - before[1], RSS_MORE_KB);
-	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
+	ck_assert(sys_wait_job_completes(&sys, 0, HN_LIMIT_MS));
 	g_rand_free(rand);
 	hn_finish();
 }
@@ -201,7 +201,7 @@
 			break;
 	}
 	ck_assert_int_lt(rss_kb(pid) - before, RSS_MORE_KB);
-	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
+	ck_assert(sys_wait_job_completes(&sys, 0, HN_LIMIT_MS));
 	close(fd);
 	hn_finish();
 }
@@ -246,7 +246,7 @@
 	    strstr(hn_http("GET", sys_url(&sys, 0, "/metrics"), NULL)->body,
 		"\nsp_agents_refused_total 0\n") == NULL,
 	    HN_LIMIT_MS));
-	ck_assert(sys_wait_work(&sys, 0, HN_LIMIT_MS));
+	ck_assert(sys_wait_job_completes(&sys, 0, HN_LIMIT_MS));
 	hn_kill(proc);
 	hn_finish();
 }
@@ -265,12 +265,12 @@
 	opts.agent_settings = ",\"drain_timeout_ms\":2000";
 	sys_start(&sys, &opts);
 	http = sys_submit(
-	    &sys, 0, sys_mint(&sys, 0), sys_body(4, "{\"run_ms\":500}"));
+	    &sys, 0, sys_new_job_id(&sys, 0), sys_body(4, "{\"run_ms\":500}"));
 	hn_sleep(100);
 	if (_i == 0)
 		hn_kill(sys.entry[0].proc);
 	else if (_i == 1)
-		sys_rule(&sys, sys.entry[0].far_rpc,
+		sys_set_proxy_rule(&sys, sys.entry[0].proxied_rpc,
 		    "action=freeze&scope=existing&direction=both");
 	else
 		hn_signal(sys.entry[0].proc, SIGSTOP);
@@ -289,7 +289,7 @@
 	const TTest *const tests[] = {garbage, no_hello, wrong_key};
 	int red;
 
-	limit_quarantine();
+	limit_asan_quarantine();
 	red = run_tests("bad input", tests, 3, 240);
 	red |= run_table("endless body", endless_body, 3, 240);
 	return red |
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -25,27 +25,27 @@
 static void
 cut_agent_connections(struct run *run)
 {
-	sys_rule(&run->sys, 0, "action=cut&match=worker-0");
+	sys_set_proxy_rule(&run->sys, 0, "action=cut&match=worker-0");
 }
 
 static void
 freeze_agent_connections(struct run *run)
 {
-	sys_rule(&run->sys, 0, "action=freeze&match=worker-0");
+	sys_set_proxy_rule(&run->sys, 0, "action=freeze&match=worker-0");
 }
 
 static void
 delay_agent_messages(struct run *run)
 {
-	sys_rule(
+	sys_set_proxy_rule(
 	    &run->sys, 0, "action=delay&match=worker-0&ms=1200&direction=down");
 }
 
 static void
 restore_connections(struct run *run)
 {
-	sys_rule(&run->sys, 0, "action=restore");
-	sys_rule(&run->sys, 0, "action=release");
+	sys_set_proxy_rule(&run->sys, 0, "action=restore");
+	sys_set_proxy_rule(&run->sys, 0, "action=release");
 }
 
 static void
@@ -89,37 +89,39 @@
 static void
 store_down(struct run *run)
 {
-	sys_store(&run->sys, "outage?mode=refuse");
+	sys_store_control(&run->sys, "outage?mode=refuse");
 }
 
 static void
 store_hangs(struct run *run)
 {
-	sys_store(&run->sys, "outage?mode=hang");
+	sys_store_control(&run->sys, "outage?mode=hang");
 }
 
 static void
 store_up(struct run *run)
 {
-	sys_store(&run->sys, "outage?mode=off");
+	sys_store_control(&run->sys, "outage?mode=off");
 }
 
 static void
 lose_store_reply(struct run *run)
 {
-	sys_store(&run->sys, "drop?writes=1");
+	sys_store_control(&run->sys, "drop?writes=1");
 }
 
 static void
 cut_store_connection(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_store, "action=cut");
+	sys_set_proxy_rule(
+	    &run->sys, run->sys.entry[0].proxied_store, "action=cut");
 }
 
 static void
 freeze_store_connection(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_store, "action=freeze");
+	sys_set_proxy_rule(
+	    &run->sys, run->sys.entry[0].proxied_store, "action=freeze");
 }
 
 /*
@@ -129,7 +131,7 @@
 static void
 delay_store_replies(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_store,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_store,
 	    "action=delay&ms=900&direction=down");
 }
 
@@ -186,7 +188,8 @@
 	for (i = 0; i < 3; i++)
 		run->load[i] =
 		    sys_load_start(&run->sys, i, CALLERS / 3, 3, payload);
-	ck_assert(hn_wait_until(sys_total(&run->sys, 0) > 2, HN_LIMIT_MS));
+	ck_assert(
+	    hn_wait_until(sys_endpoint_starts(&run->sys, 0) > 2, HN_LIMIT_MS));
 }
 
 static int
@@ -210,7 +213,7 @@
 }
 
 /*
- * Guards against task starts in a failure domain later than SYS_BOUND_MS after
+ * Guards against task starts in a failure domain later than SYS_CONFIG_BOUND_MS after
  * it was taken out of service, also after the fault was repaired.
  */
 START_TEST(out_within_bound)
@@ -223,17 +226,17 @@
 	old = sys_version(&run.sys, 1);
 	if (rows[_i].before != NULL)
 		rows[_i].before(&run);
-	run.change = sys_out(&run.sys, 1, "domain-0", true);
+	run.change = sys_set_domain_out(&run.sys, 1, "domain-0", true);
 	if (rows[_i].after != NULL)
 		rows[_i].after(&run);
 	ck_assert_msg(run.change->status == 200 || run.change->status == 202,
 	    "%s: %d %s", rows[_i].name, run.change->status, run.change->body);
 	ck_assert_int_eq(hn_json_int(run.change, "version"), old + 1);
-	hn_sleep(SYS_BOUND_MS);
-	at_bound = sys_total(&run.sys, 0);
+	hn_sleep(SYS_CONFIG_BOUND_MS);
+	at_bound = sys_endpoint_starts(&run.sys, 0);
 	done = completed(&run);
 	hn_sleep(4000);
-	later = sys_total(&run.sys, 0);
+	later = sys_endpoint_starts(&run.sys, 0);
 	ck_assert_msg(later == at_bound,
 	    "%s: %d starts in the domain after the bound", rows[_i].name,
 	    (int)(later - at_bound));
@@ -245,7 +248,7 @@
 	ck_assert(
 	    hn_wait_until(sys_in_force(&run.sys, 1, old + 1), HN_LIMIT_MS));
 	hn_sleep(2000);
-	ck_assert_msg(sys_total(&run.sys, 0) == at_bound,
+	ck_assert_msg(sys_endpoint_starts(&run.sys, 0) == at_bound,
 	    "%s: starts in the domain after the fault was repaired",
 	    rows[_i].name);
 	/*
@@ -258,10 +261,11 @@
 
 	/* Back in service, the domain gets tasks again. */
 	ck_assert(hn_wait_until(
-	    sys_out(&run.sys, 2, "domain-0", false)->status / 100 == 2,
+	    sys_set_domain_out(&run.sys, 2, "domain-0", false)->status / 100 ==
+		2,
 	    HN_LIMIT_MS));
-	ck_assert_msg(
-	    hn_wait_until(sys_total(&run.sys, 0) > at_bound, HN_LIMIT_MS),
+	ck_assert_msg(hn_wait_until(sys_endpoint_starts(&run.sys, 0) > at_bound,
+			  HN_LIMIT_MS),
 	    "%s: no start in the domain after its return to service",
 	    rows[_i].name);
 	stop(&run);
@@ -278,13 +282,13 @@
 	int64_t version, total;
 
 	start(&run, 50, NULL);
-	version =
-	    hn_json_int(sys_out(&run.sys, 0, "domain-0", true), "version");
+	version = hn_json_int(
+	    sys_set_domain_out(&run.sys, 0, "domain-0", true), "version");
 	ck_assert(
 	    hn_wait_until(sys_in_force(&run.sys, 0, version), HN_LIMIT_MS));
-	total = sys_total(&run.sys, 0);
+	total = sys_endpoint_starts(&run.sys, 0);
 	hn_sleep(2000);
-	ck_assert_int_eq(sys_total(&run.sys, 0), total);
+	ck_assert_int_eq(sys_endpoint_starts(&run.sys, 0), total);
 	stop(&run);
 }
 END_TEST
@@ -322,8 +326,8 @@
 		}
 		version += 3;
 		for (i = 0; i < 3; i++)
-			ck_assert(hn_wait_until(
-			    sys_version(&sys, i) == version, SYS_BOUND_MS));
+			ck_assert(hn_wait_until(sys_version(&sys, i) == version,
+			    SYS_CONFIG_BOUND_MS));
 		for (i = 0; i < 3; i++)
 			ck_assert_msg(sys_is_out(&sys, round % 3,
 					  hn_str("domain-%d", i)) == out,
@@ -354,18 +358,18 @@
 	sys_start(&sys,
 	    &(struct sys_options){.entries = 3, .agents = 3, .domains = 3});
 	version = sys_version(&sys, 0);
-	sys_store(&sys, "outage?mode=refuse");
-	http = sys_out(&sys, 0, "domain-0", true);
+	sys_store_control(&sys, "outage?mode=refuse");
+	http = sys_set_domain_out(&sys, 0, "domain-0", true);
 	ck_assert_int_eq(http->status, 503);
 	ck_assert_str_eq(hn_json_str(http, "error"), "store_unavailable");
-	sys_store(&sys, "outage?mode=off");
+	sys_store_control(&sys, "outage?mode=off");
 	hn_sleep(2000);
 	ck_assert_int_eq(sys_version(&sys, 0), version);
-	ck_assert(
-	    hn_wait_until(sys_out(&sys, 0, "domain-0", true)->status / 100 == 2,
-		HN_LIMIT_MS));
-	ck_assert(
-	    hn_wait_until(sys_version(&sys, 2) == version + 1, SYS_BOUND_MS));
+	ck_assert(hn_wait_until(
+	    sys_set_domain_out(&sys, 0, "domain-0", true)->status / 100 == 2,
+	    HN_LIMIT_MS));
+	ck_assert(hn_wait_until(
+	    sys_version(&sys, 2) == version + 1, SYS_CONFIG_BOUND_MS));
 	hn_finish();
 }
 END_TEST
@@ -381,11 +385,11 @@
 	int i, total;
 
 	start(&run, 100, NULL);
-	version =
-	    hn_json_int(sys_out(&run.sys, 1, "domain-0", true), "version");
+	version = hn_json_int(
+	    sys_set_domain_out(&run.sys, 1, "domain-0", true), "version");
 	ck_assert(
 	    hn_wait_until(sys_in_force(&run.sys, 1, version), HN_LIMIT_MS));
-	total = (int)sys_total(&run.sys, 0);
+	total = (int)sys_endpoint_starts(&run.sys, 0);
 	store_down(&run);
 	kill_entry(&run);
 	hn_sleep(2000);
@@ -398,12 +402,12 @@
 		    (int)seen, (int)version);
 		ck_assert_int_eq(sys_version(&run.sys, 1), version);
 	}
-	ck_assert_int_eq(sys_total(&run.sys, 0), total);
+	ck_assert_int_eq(sys_endpoint_starts(&run.sys, 0), total);
 	store_up(&run);
 	ck_assert(
 	    hn_wait_until(sys_version(&run.sys, 0) == version, HN_LIMIT_MS));
-	ck_assert(sys_wait_work(&run.sys, 0, HN_LIMIT_MS));
-	ck_assert_int_eq(sys_total(&run.sys, 0), total);
+	ck_assert(sys_wait_job_completes(&run.sys, 0, HN_LIMIT_MS));
+	ck_assert_int_eq(sys_endpoint_starts(&run.sys, 0), total);
 	stop(&run);
 }
 END_TEST
@@ -473,7 +477,7 @@
 
 	start(&run, 100, NULL);
 	cut_store_connection(&run);
-	sys_store(&run.sys, "expire");
+	sys_store_control(&run.sys, "expire");
 	counts = hn_str("http://127.0.0.1:%u/", run.sys.proxy_control);
 	before = hn_json_int(hn_http("GET", counts, NULL), "accepted");
 	hn_sleep(4000);
@@ -486,7 +490,7 @@
 	    (int)(after - before));
 	restore_connections(&run);
 	for (i = 0; i < 3; i++)
-		ck_assert(sys_wait_work(&run.sys, i, HN_LIMIT_MS));
+		ck_assert(sys_wait_job_completes(&run.sys, i, HN_LIMIT_MS));
 	stop(&run);
 }
 END_TEST
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -33,7 +33,7 @@
 	for (i = 0; i < n; i++) {
 		hn_http_wait(http[i], 4 * HN_LIMIT_MS);
 		results = json_object_object_get(http[i]->json, "results");
-		ck_assert_int_le(sys_starts(sys, id[i]).most, 1);
+		ck_assert_int_le(sys_job_starts(sys, id[i]).most, 1);
 		if (http[i]->status == 200) {
 			ck_assert_uint_eq(
 			    json_object_array_length(results), tasks);
@@ -47,7 +47,7 @@
 			continue;
 		}
 		t.not_run++;
-		ck_assert_msg(sys_starts(sys, id[i]).total == 0,
+		ck_assert_msg(sys_job_starts(sys, id[i]).total == 0,
 		    "answered with not_run but started: %.200s", http[i]->body);
 	}
 	return t;
@@ -99,7 +99,7 @@
 	int64_t sum = 0;
 
 	while (n-- > 0)
-		sum += sys_total(sys, n);
+		sum += sys_endpoint_starts(sys, n);
 	return sum;
 }
 
@@ -125,7 +125,7 @@
 	int i;
 
 	for (i = first; i < first + n; i++)
-		sys_mode(sys, i, query);
+		sys_set_endpoint_mode(sys, i, query);
 }
 
 /* Waits until a load has this many more complete jobs. */
@@ -154,18 +154,19 @@
 	int64_t before, after, other;
 
 	progress(load, 40);
-	before = sys_total(sys, 0);
-	other = sys_total(sys, 1);
-	sys_mode(sys, 0, "fail=1");
+	before = sys_endpoint_starts(sys, 0);
+	other = sys_endpoint_starts(sys, 1);
+	sys_set_endpoint_mode(sys, 0, "fail=1");
 	progress(load, 200);
-	after = sys_total(sys, 0) - before;
-	ck_assert_msg(after <= 24 && after * 2 < sys_total(sys, 1) - other,
+	after = sys_endpoint_starts(sys, 0) - before;
+	ck_assert_msg(
+	    after <= 24 && after * 2 < sys_endpoint_starts(sys, 1) - other,
 	    "%d starts at the failing worker, %d at another", (int)after,
-	    (int)(sys_total(sys, 1) - other));
+	    (int)(sys_endpoint_starts(sys, 1) - other));
 	/* A probe finds that it works again; before that it gets no more. */
-	sys_mode(sys, 0, "fail=0");
-	before = sys_total(sys, 0);
-	while (sys_total(sys, 0) < before + 8)
+	sys_set_endpoint_mode(sys, 0, "fail=0");
+	before = sys_endpoint_starts(sys, 0);
+	while (sys_endpoint_starts(sys, 0) < before + 8)
 		progress(load, 20);
 	sys_load_stop(load);
 }
@@ -187,11 +188,11 @@
 	ck_assert(hn_wait_until(
 	    sys_load_counts(load).failed >= 100, 2 * HN_LIMIT_MS));
 	for (i = 0; i < 4; i++)
-		before[i] = sys_total(sys, i);
+		before[i] = sys_endpoint_starts(sys, i);
 	ck_assert(hn_wait_until(
 	    sys_load_counts(load).failed >= 300, 2 * HN_LIMIT_MS));
 	for (i = 0; i < 3; i++)
-		kept += sys_total(sys, i) - before[i] > 10;
+		kept += sys_endpoint_starts(sys, i) - before[i] > 10;
 	ck_assert_msg(kept == 2, "%d of 3 failing workers get work", kept);
 	modes(sys, 0, 3, "fail=0");
 	progress(load, 50);
@@ -234,7 +235,7 @@
 			ck_assert(hn_wait_until(
 			    sys_is_out(sys, 0, out), HN_LIMIT_MS));
 		}
-		id = sys_mint(sys, 0);
+		id = sys_new_job_id(sys, 0);
 		http = hn_http_wait(
 		    sys_submit(sys, 0, id, never[i].body), HN_LIMIT_MS);
 		ck_assert_msg(
@@ -244,7 +245,7 @@
 			    NULL,
 		    "%s %s: %d %.200s", never[i].error, never[i].names,
 		    http->status, http->body);
-		ck_assert_int_eq(sys_starts(sys, id).total, 0);
+		ck_assert_int_eq(sys_job_starts(sys, id).total, 0);
 	}
 }
 
@@ -277,7 +278,7 @@
 
 	/* Declared 10 minutes, needs 20 ms: not hopeless within a minute. */
 	for (i = 0; i < 8; i++)
-		hn_http_wait(sys_submit(sys, 0, sys_mint(sys, 0),
+		hn_http_wait(sys_submit(sys, 0, sys_new_job_id(sys, 0),
 				 declared(16, 600000, 20, 3600000)),
 		    HN_LIMIT_MS);
 	submit_all(sys, http, id, 2, declared(64, 600000, 20, 60000));
@@ -285,11 +286,11 @@
 	ck_assert_int_eq(t.complete, 2);
 	/* Declared 1 ms, needs 1 s: 200 tasks on 8 slots keep 5 s hopeless. */
 	for (i = 0; i < 4; i++)
-		hn_http_wait(sys_submit(sys, 0, sys_mint(sys, 0),
+		hn_http_wait(sys_submit(sys, 0, sys_new_job_id(sys, 0),
 				 declared(16, 1, 1000, 60000)),
 		    HN_LIMIT_MS);
 	http[0] = sys_submit(
-	    sys, 0, sys_mint(sys, 0), declared(200, 1, 1000, 600000));
+	    sys, 0, sys_new_job_id(sys, 0), declared(200, 1, 1000, 600000));
 	ck_assert(hn_wait_until(
 	    gauge(sys, 0, "sp_tasks_in_flight") >= 200, HN_LIMIT_MS));
 	submit_all(sys, http, id, 1, declared(1, 1, 1000, 5000));
@@ -398,14 +399,14 @@
 	struct sys_load *load;
 	int64_t slow, fast;
 
-	sys_mode(sys, 0, "speed=0.05");
+	sys_set_endpoint_mode(sys, 0, "speed=0.05");
 	load = sys_load_start(sys, 0, 8, 1, "{\"run_ms\":50}");
 	progress(load, 100);
-	slow = sys_total(sys, 0);
-	fast = sys_total(sys, 1);
+	slow = sys_endpoint_starts(sys, 0);
+	fast = sys_endpoint_starts(sys, 1);
 	progress(load, 300);
-	slow = sys_total(sys, 0) - slow;
-	fast = sys_total(sys, 1) - fast;
+	slow = sys_endpoint_starts(sys, 0) - slow;
+	fast = sys_endpoint_starts(sys, 1) - fast;
 	ck_assert_msg(slow * 4 < fast,
 	    "%d starts at the straggler, %d at another", (int)slow, (int)fast);
 	sys_load_stop(load);
@@ -425,13 +426,14 @@
 	for (i = 0; i < 2; i++)
 		load[i] = sys_load_start(sys, i, 4, 2, "{\"run_ms\":200}");
 	progress(load[0], 4);
-	sys_store(sys, fault);
-	hn_sleep(2LL * SYS_BOUND_MS);
+	sys_store_control(sys, fault);
+	hn_sleep(2LL * SYS_CONFIG_BOUND_MS);
 	for (i = 0; i < 2; i++)
 		progress(load[i], 20);
-	sys_store(sys, end);
+	sys_store_control(sys, end);
 	ck_assert(hn_wait_until(
-	    hn_json_int(sys_out(sys, 0, "domain-1", false), "version") >= 0,
+	    hn_json_int(
+		sys_set_domain_out(sys, 0, "domain-1", false), "version") >= 0,
 	    HN_LIMIT_MS));
 	for (i = 0; i < 2; i++) {
 		progress(load[i], 10);
@@ -473,17 +475,17 @@
 	    service, team);
 	struct hn_http *http[2][6];
 	const char *id[2][6];
-	int64_t before = sys_total(sys, 0);
+	int64_t before = sys_endpoint_starts(sys, 0);
 	struct tally t;
 	int i, j;
 
 	for (i = 0; i < 2; i++)
 		ck_assert(hn_wait_until(
 		    gauge(sys, i, "sp_peers_connected") == 1, HN_LIMIT_MS));
-	sys_mode(sys, 0, "hang=1");
+	sys_set_endpoint_mode(sys, 0, "hang=1");
 	for (i = 0; i < 2; i++) {
 		for (j = 0; j < 6; j++) {
-			id[i][j] = sys_mint(sys, i);
+			id[i][j] = sys_new_job_id(sys, i);
 			http[i][j] = sys_submit(sys, i, id[i][j], body);
 		}
 		for (j = 0; j < 6; j++)
@@ -492,7 +494,7 @@
 	ck_assert(hn_wait_until(gauge(sys, 0, "sp_tasks_in_flight") == 3 &&
 				    gauge(sys, 1, "sp_tasks_in_flight") == 3,
 	    HN_LIMIT_MS));
-	sys_mode(sys, 0, "hang=0");
+	sys_set_endpoint_mode(sys, 0, "hang=0");
 	for (i = 0; i < 2; i++) {
 		t = tally(sys, http[i], id[i], 6, 1);
 		ck_assert_msg(t.complete == 3 && t.not_run == 3,
@@ -504,11 +506,11 @@
 				    hn_json_str(http[i][j], "error"), error);
 		}
 	}
-	ck_assert_int_eq(sys_total(sys, 0), before + 6);
+	ck_assert_int_eq(sys_endpoint_starts(sys, 0), before + 6);
 	/* The share is free again. */
 	ck_assert(hn_wait_until(
 	    hn_http_wait(
-		sys_submit(sys, 0, sys_mint(sys, 0), body), HN_LIMIT_MS)
+		sys_submit(sys, 0, sys_new_job_id(sys, 0), body), HN_LIMIT_MS)
 		    ->status == 200,
 	    HN_LIMIT_MS));
 }
@@ -594,7 +596,7 @@
 int
 main(void)
 {
-	limit_quarantine();
+	limit_asan_quarantine();
 	return run_table(
 	    "overload", overload, sizeof(rows) / sizeof(rows[0]), 240);
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -272,13 +272,13 @@
 	for (i = 0; i < DPL_AGENTS; i++)
 		dpl_control(
 		    &dpl, "PUT", hn_str("key?key=op/evacuate/z%d", i), "{}");
-	ck_assert(hn_wait_until(!dpl_accepts(&dpl, 0), HN_LIMIT_MS));
+	ck_assert(hn_wait_until(!dpl_completes_job(&dpl, 0), HN_LIMIT_MS));
 	http = hn_http("POST", dpl_url(&dpl, 0, "/q/00000000000000aa"),
 	    "{\"spec\":\"1\",\"best_effort\":true,\"steps\":[{\"count\":1,"
 	    "\"cpu\":1000,\"mem_mb\":1}]}");
 	ck_assert_int_eq(http->status, 503);
 	dpl_control(&dpl, "DELETE", "key?key=op/evacuate/z1", NULL);
-	ck_assert(hn_wait_until(dpl_accepts(&dpl, 0), HN_LIMIT_MS));
+	ck_assert(hn_wait_until(dpl_completes_job(&dpl, 0), HN_LIMIT_MS));
 	hn_finish();
 }
 END_TEST
@@ -372,7 +372,8 @@
 		hn_restart(dpl.agent[i]);
 	}
 	for (i = 0; i < DPL_ENTRIES; i++)
-		ck_assert(hn_wait_until(dpl_accepts(&dpl, i), HN_LIMIT_MS));
+		ck_assert(
+		    hn_wait_until(dpl_completes_job(&dpl, i), HN_LIMIT_MS));
 	hn_finish();
 }
 END_TEST
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -28,7 +28,7 @@
 		run->load[i] =
 		    sys_load_start(&run->sys, i, 6, 4, "{\"run_ms\":300}");
 	ck_assert(hn_wait_until(sys_load_counts(run->load[0]).complete > 3 &&
-				    sys_total(&run->sys, 0) > 3,
+				    sys_endpoint_starts(&run->sys, 0) > 3,
 	    HN_LIMIT_MS));
 }
 
@@ -42,11 +42,11 @@
 	int code;
 
 	start(&run);
-	id = sys_mint(&run.sys, 0);
+	id = sys_new_job_id(&run.sys, 0);
 	slow = sys_submit(&run.sys, 0, id, sys_body(2, "{\"run_ms\":2500}"));
-	ck_assert(
-	    hn_wait_until(sys_starts(&run.sys, id).total == 2, HN_LIMIT_MS));
-	id = sys_mint(&run.sys, 0);
+	ck_assert(hn_wait_until(
+	    sys_job_starts(&run.sys, id).total == 2, HN_LIMIT_MS));
+	id = sys_new_job_id(&run.sys, 0);
 	hn_signal(run.sys.entry[0].proc, SIGTERM);
 	/* Readiness fails first, so the balancer sends callers elsewhere. */
 	ck_assert(hn_wait_until(
@@ -60,7 +60,7 @@
 		ck_assert_str_eq(hn_json_str(late, "error"), "shutting_down");
 		ck_assert_str_eq(hn_json_str(late, "ran"), "not_run");
 	}
-	ck_assert_int_eq(sys_starts(&run.sys, id).total, 0);
+	ck_assert_int_eq(sys_job_starts(&run.sys, id).total, 0);
 	hn_http_wait(slow, HN_LIMIT_MS);
 	ck_assert_msg(slow->status == 200, "%d %s", slow->status, slow->body);
 	code = hn_wait_exit(run.sys.entry[0].proc, 2 * HN_LIMIT_MS);
@@ -70,7 +70,7 @@
 	    "%d complete, %d failed, %d unknown, %d not run, %d without answer",
 	    counts.complete, counts.failed, counts.unknown, counts.not_run,
 	    counts.none);
-	ck_assert(sys_wait_work(&run.sys, 1, HN_LIMIT_MS));
+	ck_assert(sys_wait_job_completes(&run.sys, 1, HN_LIMIT_MS));
 	counts = sys_load_stop(run.load[1]);
 	ck_assert_int_eq(
 	    counts.failed + counts.unknown + counts.not_run + counts.none, 0);
@@ -93,7 +93,7 @@
 static void
 stop_announcing(struct run *run)
 {
-	sys_mode(&run->sys, 0, "silent=1");
+	sys_set_endpoint_mode(&run->sys, 0, "silent=1");
 }
 
 static void
@@ -155,8 +155,8 @@
 	if (rows[_i].agent_exits)
 		ck_assert_int_eq(
 		    hn_wait_exit(run.sys.agent[0].proc, 2 * HN_LIMIT_MS), 0);
-	hn_sleep(ANNOUNCED_MS + SYS_BOUND_MS);
-	total = sys_total(&run.sys, 0);
+	hn_sleep(ANNOUNCED_MS + SYS_CONFIG_BOUND_MS);
+	total = sys_endpoint_starts(&run.sys, 0);
 	left = sum(&run);
 	lost = left.failed + left.unknown;
 	if (rows[_i].graceful)
@@ -166,7 +166,7 @@
 		    rows[_i].name, left.complete, left.failed, left.unknown,
 		    left.not_run, left.none);
 	hn_sleep(4000);
-	ck_assert_msg(sys_total(&run.sys, 0) == total,
+	ck_assert_msg(sys_endpoint_starts(&run.sys, 0) == total,
 	    "%s: new work after it left", rows[_i].name);
 	/* Only what ran there when it left may be lost. */
 	later = sum(&run);
@@ -194,7 +194,8 @@
 	hn_sleep(2000);
 	hn_restart(run.sys.agent[0].proc);
 	hn_restart(run.sys.agent[0].endpoint);
-	ck_assert(hn_wait_until(sys_total(&run.sys, 0) > 0, HN_LIMIT_MS));
+	ck_assert(
+	    hn_wait_until(sys_endpoint_starts(&run.sys, 0) > 0, HN_LIMIT_MS));
 	sys_load_stop(run.load[0]);
 	sys_load_stop(run.load[1]);
 	hn_finish();
--- a/tests/test_soak.c
+++ b/tests/test_soak.c
@@ -264,16 +264,16 @@
 static void
 path_whole(struct soak *soak, int target)
 {
-	dpl_fault(
+	dpl_set_fault(
 	    &soak->dpl, path_of(target), path_index(target), "", "restore", 0);
-	dpl_fault(
+	dpl_set_fault(
 	    &soak->dpl, path_of(target), path_index(target), "", "release", 0);
 }
 
 static bool
 path_cut(struct soak *soak, int target)
 {
-	dpl_fault(
+	dpl_set_fault(
 	    &soak->dpl, path_of(target), path_index(target), "", "cut", 0);
 	return true;
 }
@@ -281,8 +281,8 @@
 static bool
 path_delayed(struct soak *soak, int target)
 {
-	dpl_fault(&soak->dpl, path_of(target), path_index(target), "", "delay",
-	    20 * (1 + target));
+	dpl_set_fault(&soak->dpl, path_of(target), path_index(target), "",
+	    "delay", 20 * (1 + target));
 	return true;
 }
 
@@ -291,7 +291,7 @@
 {
 	static const char *const directions[] = {"both", "up", "down"};
 
-	dpl_fault(&soak->dpl, path_of(target), path_index(target),
+	dpl_set_fault(&soak->dpl, path_of(target), path_index(target),
 	    directions[target % 3], "freeze", 0);
 	return true;
 }
@@ -523,7 +523,7 @@
 	    "seed %u: %d jobs without an end", seed, soak.n_open);
 	for (i = 0; i < DPL_ENTRIES; i++)
 		ck_assert_msg(
-		    hn_wait_until(dpl_accepts(&soak.dpl, i), SETTLE_MS),
+		    hn_wait_until(dpl_completes_job(&soak.dpl, i), SETTLE_MS),
 		    "seed %u: entry %d does not serve again", seed, i);
 	check_counts(&soak);
 	printf("soak seed %u: %d completed, %d failed, %d refused, %d given "
--- a/tests/test_start_once.c
+++ b/tests/test_start_once.c
@@ -39,21 +39,21 @@
 static void
 lose_reply(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_listen,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_listen,
 	    "action=drop&direction=down&match=PUT");
 }
 
 static void
 silence_caller(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_listen,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_listen,
 	    "action=freeze&scope=existing");
 }
 
 static void
 silence_agents(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
 	    "action=freeze&scope=existing");
 }
 
@@ -61,14 +61,14 @@
 static void
 hold_starts(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
 	    "action=freeze&scope=existing&direction=down");
 }
 
 static void
 hold_results(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
 	    "action=freeze&scope=existing&direction=up");
 }
 
@@ -76,21 +76,21 @@
 release_late(struct run *run)
 {
 	hn_sleep(PAUSE_MS);
-	sys_rule(&run->sys, 0, "action=release");
+	sys_set_proxy_rule(&run->sys, 0, "action=release");
 }
 
 static void
 lose_results(struct run *run)
 {
-	sys_rule(
-	    &run->sys, run->sys.entry[0].far_rpc, "action=drop&direction=up");
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
+	    "action=drop&direction=up");
 }
 
 static void
 cut_agents(struct run *run)
 {
-	sys_rule(
-	    &run->sys, run->sys.entry[0].far_rpc, "action=cut&scope=existing");
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
+	    "action=cut&scope=existing");
 }
 
 static void
@@ -135,7 +135,7 @@
 {
 	silence_agents(run);
 	pause_entry(run);
-	sys_rule(&run->sys, 0, "action=release");
+	sys_set_proxy_rule(&run->sys, 0, "action=release");
 }
 
 static void
@@ -156,7 +156,7 @@
 static void
 cut_and_resubmit(struct run *run)
 {
-	sys_rule(&run->sys, run->sys.entry[0].far_rpc,
+	sys_set_proxy_rule(&run->sys, run->sys.entry[0].proxied_rpc,
 	    "action=cut&scope=existing&match=worker-");
 	resubmit_in_parallel(run);
 }
@@ -209,8 +209,8 @@
 	int e;
 
 	for (e = 0; e < 2; e++) {
-		http = sys_settle(&run->sys, e, run->id, run->body);
-		count = sys_starts(&run->sys, run->id);
+		http = sys_submit_until_final(&run->sys, e, run->id, run->body);
+		count = sys_job_starts(&run->sys, run->id);
 		ck_assert_msg(count.most <= 1, "%s: a task started %d times",
 		    name, count.most);
 		ck_assert_msg(!rows[row].completes || http->status == 200,
@@ -231,8 +231,8 @@
 	}
 	/* Nothing may start later either. */
 	hn_sleep(1000);
-	ck_assert_int_eq(sys_starts(&run->sys, run->id).most, count.most);
-	ck_assert_int_eq(sys_starts(&run->sys, run->id).total, count.total);
+	ck_assert_int_eq(sys_job_starts(&run->sys, run->id).most, count.most);
+	ck_assert_int_eq(sys_job_starts(&run->sys, run->id).total, count.total);
 }
 
 START_TEST(job_starts_once)
@@ -241,12 +241,12 @@
 
 	sys_start(&run.sys,
 	    &(struct sys_options){.entries = 2, .agents = 2, .domains = 2});
-	run.id = sys_mint(&run.sys, 0);
+	run.id = sys_new_job_id(&run.sys, 0);
 	run.body = sys_body(N_TASKS, "{\"run_ms\":600}");
 	if (rows[_i].before != NULL)
 		rows[_i].before(&run);
 	run.http = hn_http_start("PUT",
-	    sys_far_url(
+	    sys_proxied_url(
 		&run.sys, 0, hn_str("/v1/jobs/%s?wait_ms=20000", run.id)),
 	    NULL, run.body);
 	ck_assert(hn_wait_until(
@@ -256,7 +256,7 @@
 	    HN_LIMIT_MS));
 	if (rows[_i].started)
 		ck_assert(hn_wait_until(
-		    sys_starts(&run.sys, run.id).total > 0, HN_LIMIT_MS));
+		    sys_job_starts(&run.sys, run.id).total > 0, HN_LIMIT_MS));
 	if (rows[_i].during != NULL)
 		rows[_i].during(&run);
 	check_job(&run, _i);
@@ -274,9 +274,10 @@
 
 	sys_start(&run.sys,
 	    &(struct sys_options){.entries = 2, .agents = 2, .domains = 2});
-	run.id = sys_mint(&run.sys, 0);
+	run.id = sys_new_job_id(&run.sys, 0);
 	run.body = "{\"run_ms\":600}";
-	before = sys_total(&run.sys, 0) + sys_total(&run.sys, 1);
+	before =
+	    sys_endpoint_starts(&run.sys, 0) + sys_endpoint_starts(&run.sys, 1);
 	/* The caller's own connection is not part of this test. */
 	if (rows[_i].before != NULL && rows[_i].before != lose_reply)
 		rows[_i].before(&run);
@@ -284,9 +285,11 @@
 	    sys_url(&run.sys, 0, "/v1/services/" SYS_SERVICE "/order"), headers,
 	    run.body);
 	if (rows[_i].started)
-		ck_assert(hn_wait_until(
-		    sys_total(&run.sys, 0) + sys_total(&run.sys, 1) > before,
-		    HN_LIMIT_MS));
+		ck_assert(
+		    hn_wait_until(sys_endpoint_starts(&run.sys, 0) +
+					  sys_endpoint_starts(&run.sys, 1) >
+				      before,
+			HN_LIMIT_MS));
 	else
 		hn_sleep(100);
 	if (rows[_i].during != NULL &&
@@ -295,7 +298,8 @@
 		rows[_i].during(&run);
 	hn_http_wait(run.http, HN_LIMIT_MS);
 	hn_sleep(1000);
-	after = sys_total(&run.sys, 0) + sys_total(&run.sys, 1);
+	after =
+	    sys_endpoint_starts(&run.sys, 0) + sys_endpoint_starts(&run.sys, 1);
 	ck_assert_msg(after - before <= 1, "%s: ran %d times", rows[_i].name,
 	    (int)(after - before));
 	if (run.http->status == 200)
@@ -318,22 +322,24 @@
 			    .agents = 2,
 			    .domains = 2,
 			    .entry_settings = ",\"job_retention_s\":1"});
-	id = sys_mint(&sys, 0);
-	unused = sys_mint(&sys, 0);
-	ck_assert_int_eq(sys_settle(&sys, 0, id, body)->status, 200);
+	id = sys_new_job_id(&sys, 0);
+	unused = sys_new_job_id(&sys, 0);
+	ck_assert_int_eq(
+	    sys_submit_until_final(&sys, 0, id, body)->status, 200);
 	ck_assert(hn_wait_until(
 	    hn_http("GET", sys_url(&sys, 0, hn_str("/v1/jobs/%s", id)), NULL)
 		    ->status != 200,
 	    HN_LIMIT_MS));
 	for (e = 0; e < 2; e++) {
-		http = sys_settle(&sys, e, id, body);
+		http = sys_submit_until_final(&sys, e, id, body);
 		ck_assert_int_eq(http->status, 410);
 		ck_assert_str_eq(hn_json_str(http, "error"), "expired");
 		ck_assert_str_ne(hn_json_str(http, "ran"), "not_run");
 	}
-	ck_assert_int_eq(sys_starts(&sys, id).most, 1);
+	ck_assert_int_eq(sys_job_starts(&sys, id).most, 1);
 	/* A later id that was never used still works. */
-	ck_assert_int_eq(sys_settle(&sys, 1, unused, body)->status, 200);
+	ck_assert_int_eq(
+	    sys_submit_until_final(&sys, 1, unused, body)->status, 200);
 	hn_finish();
 }
 END_TEST
@@ -348,19 +354,20 @@
 
 	sys_start(&sys,
 	    &(struct sys_options){.entries = 2, .agents = 2, .domains = 2});
-	id = sys_mint(&sys, 0);
+	id = sys_new_job_id(&sys, 0);
 	first = sys_submit(&sys, 0, id, body);
-	ck_assert(hn_wait_until(sys_starts(&sys, id).total > 0, HN_LIMIT_MS));
+	ck_assert(
+	    hn_wait_until(sys_job_starts(&sys, id).total > 0, HN_LIMIT_MS));
 	for (e = 0; e < 4; e++) {
-		second =
-		    sys_settle(&sys, e % 2, id, sys_body(5, "{\"run_ms\":1}"));
+		second = sys_submit_until_final(
+		    &sys, e % 2, id, sys_body(5, "{\"run_ms\":1}"));
 		ck_assert_int_eq(second->status, 409);
 		ck_assert_str_eq(hn_json_str(second, "ran"), "not_run");
 		hn_http_wait(first, HN_LIMIT_MS);
 	}
 	ck_assert_int_eq(first->status, 200);
-	ck_assert_int_eq(sys_starts(&sys, id).tasks, 2);
-	ck_assert_int_eq(sys_starts(&sys, id).most, 1);
+	ck_assert_int_eq(sys_job_starts(&sys, id).tasks, 2);
+	ck_assert_int_eq(sys_job_starts(&sys, id).most, 1);
 	hn_finish();
 }
 END_TEST
