--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,8 @@
 WARNINGS = -Wall -Wextra -Wstrict-prototypes -Wmissing-prototypes -Wshadow \
     -Wno-cast-function-type -Wno-format-truncation -Werror
 CFLAGS = -O2 -g -std=gnu11
-# Asked for only by the rules below, since "make deps" runs before it works.
+# Expanded only by the rules that use them: "make deps" must run before
+# pkg-config and the packages are installed.
 PKG_CFLAGS = $(shell pkg-config --cflags $(PACKAGES))
 PKG_LIBS = $(shell pkg-config --libs $(PACKAGES))
 ALL_CFLAGS = $(CFLAGS) $(SANFLAGS) -MMD -MP -I. -Isrc -Iinclude -Itests \
@@ -41,7 +42,8 @@
 
 LIB_OBJS = $(LIB_SRCS:%.c=$(B)/%.o)
 SUPPORT_OBJS = $(SUPPORT_SRCS:%.c=$(B)/%.o)
-# An archive, since only test programs link the check library.
+# An archive, so that programs other than tests leave out the objects that need
+# the check library.
 SUPPORT_LIB = $(B)/libsupport.a
 BENCH_SUPPORT_OBJS = $(BENCH_SUPPORT_SRCS:%.c=$(B)/%.o)
 LIB = $(B)/libsequoiaplank.a
@@ -66,7 +68,7 @@
 	@mkdir -p $(@D)
 	$(CC) $(ALL_CFLAGS) $(PKG_CFLAGS) $(WARNINGS) -c -o $@ $<
 
-# rpcgen output is committed as generated and leaves unused variables.
+# rpcgen output is committed unedited and has unused variables.
 $(B)/src/connection/wire_xdr.o $(B)/src/connection/run_xdr.o: WARNINGS = -Wall -Wno-unused-variable
 
 $(LIB): $(LIB_OBJS)
@@ -91,7 +93,7 @@
 $(PLATFORM_PROGRAM): $(B)/platform/spjobd.o $(PLATFORM_LIB) $(LIB)
 	$(CC) $(SANFLAGS) -o $@ $< $(PLATFORM_LIB) $(LIB) $(LIBS)
 
-# What deploy/system.toml builds.
+# The target that deploy/system.toml builds.
 platform: $(PLATFORM_PROGRAM)
 
 $(STANDINS): $(B)/%: $(B)/tests/%.o $(SUPPORT_LIB) $(LIB)
@@ -105,7 +107,7 @@
 	$(CC) $(SANFLAGS) -o $@ $< $(BENCH_SUPPORT_OBJS) $(SUPPORT_LIB) $(LIB) \
 	    $(LIBS)
 
-# The committed src/connection/{wire,run}_xdr.[ch] come from this.
+# Regenerates the committed src/connection/{wire,run}_xdr.[ch].
 wire:
 	cd src/connection && for x in wire run; do \
 	    rm -f $${x}_xdr.c $${x}_xdr.h && \
--- a/include/sequoiaplank.h
+++ b/include/sequoiaplank.h
@@ -17,7 +17,7 @@
 
 enum sp_result {
 	SP_OK = 0,
-	SP_INVALID = 1, /* invalid settings or text; message gives key, place */
+	SP_INVALID = 1,	    /* invalid settings or text; message tells where */
 	SP_UNAVAILABLE = 2, /* an address can't be listened on */
 	SP_INTERRUPTED = 3  /* requests still ran after drain_timeout_ms */
 };
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -58,7 +58,8 @@
 	int64_t lease_ends_ms; /* upper bound, 0: no lease was given */
 	/*
 	 * When the first call without an answer was sent, plus its wait; 0:
-	 * none.  Any answer resets it.
+	 * none.  Reset by a report of the current incarnation and by any answer
+	 * to a call without a wait, but not by other answers to a long poll.
 	 */
 	int64_t unanswered_since_ms;
 	/* Counts changes of the worker; answers to earlier calls are ignored. */
--- a/src/process/jobagent.c
+++ b/src/process/jobagent.c
@@ -437,7 +437,7 @@
 }
 
 static void
-on_worker_lost(const char *reason, void *ctx)
+on_runs_lost(const char *reason, void *ctx)
 {
 	struct ja *ja = ctx;
 
@@ -514,7 +514,7 @@
 	    .token = clk_wall_ms(),
 	    .lease_needed = is_lease_needed,
 	    .report = on_report,
-	    .runs_lost = on_worker_lost,
+	    .runs_lost = on_runs_lost,
 	    .changed = on_worker_changed,
 	    .ctx = ja,
 	};
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -11,9 +11,9 @@
 	char *name;
 	char *failure_domain;
 	char *region;
-	char *listen;		/* "ip:port", callers' HTTP */
-	char *operator_listen;	/* "ip:port", operators' HTTP */
-	char *rpc_listen;	/* "ip:port", agents and peers */
+	char *listen;		/* "ip:port", HTTP for callers */
+	char *operator_listen;	/* "ip:port", HTTP for operators */
+	char *rpc_listen;	/* "ip:port", RPC for agents, peers */
 	char *rpc_address;	/* advertised; default rpc_listen */
 	char *operator_address; /* advertised; default operator_listen */
 	char *store;		/* "http://ip:port" */
@@ -21,20 +21,23 @@
 	char **peers; /* rpc seed addresses, NULL-terminated; may be empty */
 	char *log_level;
 	char *policy; /* placement policy, see docs/POLICY.md */
-	/* Tasks start only if the configuration was confirmed this recently. */
+	/*
+	 * Tasks start only within this time after the configuration was
+	 * confirmed as current.
+	 */
 	int64_t freshness_ms;
 	int64_t store_poll_ms;
 	int64_t members_poll_ms;
 	int64_t lease_s;
 	int64_t store_timeout_ms;
-	int64_t silence_ms; /* closes connections without input for so long */
+	int64_t silence_ms; /* input timeout after which a connection closes */
 	int64_t job_retention_s;
 	int64_t drain_timeout_ms;
 	uint32_t max_jobs;
 	uint32_t max_tasks; /* in one job */
 	uint64_t max_answer_bytes;
 	uint64_t max_body_bytes;
-	uint32_t agent_queue; /* tasks sent to an agent beyond its slots */
+	uint32_t agent_queue; /* limit of tasks sent beyond an agent's slots */
 	uint32_t trace_spans;
 };
 
@@ -48,10 +51,13 @@
 	char **entries; /* rpc seed addresses, NULL-terminated */
 	char *cluster_key;
 	char *log_level;
-	/* Tasks start only if the configuration was confirmed this recently. */
+	/*
+	 * Tasks start only within this time after the configuration was
+	 * confirmed as current.
+	 */
 	int64_t freshness_ms;
 	int64_t heartbeat_ms;
-	int64_t silence_ms; /* closes connections without input for so long */
+	int64_t silence_ms; /* input timeout after which a connection closes */
 	int64_t drain_timeout_ms;
 	uint32_t entry_connections;
 	uint32_t max_queue; /* starts queued for a slot */
@@ -66,8 +72,8 @@
 struct set_job {
 	char *name;
 	char *failure_domain;
-	char *listen;	      /* "ip:port"; entry: callers, agent: entries */
-	char *ready_listen;   /* entry: "ip:port", load balancer's check */
+	char *listen; /* "ip:port"; entry: for callers, agent: for entries */
+	char *ready_listen;   /* entry: "ip:port", readiness check */
 	char *worker_listen;  /* agent: "ip:port", the worker's heartbeats */
 	char *advertise;      /* agent: address for entries; NULL: listen */
 	char *metrics_listen; /* "ip:port" */
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -53,7 +53,12 @@
 
 /* From now on, starts with an unrecorded seq below next_seq are refused. */
 void out_seal(struct out *out, uint64_t entry, uint64_t next_seq);
-/* Returns the state of a seq; an unseen one can't start any more. */
+/*
+ * Returns the state of a seq; an unseen one can't start any more.  For an entry
+ * that never connected, or whose records were dropped, the state is
+ * WIRE_STATE_RUNNING: the seq can't be sealed, and its start may have been
+ * accepted before the records were dropped.
+ */
 enum wire_state out_state(struct out *out, uint64_t entry, uint64_t seq);
 
 /*
--- a/src/version/store.h
+++ b/src/version/store.h
@@ -30,7 +30,7 @@
 /* total: number of matching keys, including those left out as unchanged. */
 typedef void (*store_read_fn)(const struct status *st,
     const struct store_value *values, size_t n, size_t total, void *ctx);
-/* mod_revision: that of the key after the write. */
+/* mod_revision: the key's revision after the write. */
 typedef void (*store_write_fn)(
     const struct status *st, int64_t mod_revision, void *ctx);
 typedef void (*store_lease_fn)(
@@ -49,7 +49,7 @@
 	void (*compare_and_swap)(struct store *store, const char *key,
 	    int64_t mod_revision, const char *data, size_t len,
 	    store_write_fn fn, void *ctx);
-	/* lease 0: without a lease. */
+	/* The store removes the key when the lease expires; 0: no lease. */
 	void (*put)(struct store *store, const char *key, const char *data,
 	    size_t len, int64_t lease, store_write_fn fn, void *ctx);
 	void (*remove)(
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -89,7 +89,7 @@
 }
 
 static void
-late_commands(struct dpl *dpl)
+late_calls(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	hn_sleep(2000);
@@ -197,7 +197,7 @@
 }
 
 static void
-late_commands_and_entry_paused(struct dpl *dpl)
+late_calls_and_entry_paused(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	entry_paused(dpl);
@@ -205,7 +205,7 @@
 }
 
 static void
-late_commands_and_agent_killed(struct dpl *dpl)
+late_calls_and_agent_killed(struct dpl *dpl)
 {
 	dpl_control(dpl, "GET", "mode?late=20", NULL);
 	agent_killed(dpl);
@@ -218,7 +218,7 @@
 	void (*fault)(struct dpl *dpl);
 } rows[] = {
     {"no fault", no_fault},
-    {"worker commands executed late", late_commands},
+    {"worker calls executed late", late_calls},
     {"worker fails every task", failing_worker},
     {"worker stalled", stalled_worker},
     {"worker crashed", crashed_worker},
@@ -232,8 +232,8 @@
     {"agent terminated", agent_terminated},
     {"store down", store_down},
     {"all killed", all_killed},
-    {"late worker commands, entry paused", late_commands_and_entry_paused},
-    {"late worker commands, agent killed", late_commands_and_agent_killed},
+    {"late worker calls, entry paused", late_calls_and_entry_paused},
+    {"late worker calls, agent killed", late_calls_and_agent_killed},
 };
 
 START_TEST(fault_while_jobs_run)
--- a/tests/test_soak.c
+++ b/tests/test_soak.c
@@ -162,14 +162,14 @@
 }
 
 static void
-clear_request_delay(struct soak *soak, int target)
+clear_call_delay(struct soak *soak, int target)
 {
 	(void)target;
 	set_mode(soak, "late", 0);
 }
 
 static bool
-delay_worker_requests(struct soak *soak, int target)
+delay_worker_calls(struct soak *soak, int target)
 {
 	set_mode(soak, "late", 5 + target * 5);
 	return true;
@@ -312,7 +312,7 @@
     {"process terminated", terminate_process, restart_terminated},
     {"reload", reload_settings, NULL},
     {"store down", stop_store, restore_store},
-    {"worker requests delayed", delay_worker_requests, clear_request_delay},
+    {"worker calls delayed", delay_worker_calls, clear_call_delay},
     {"worker fails", set_worker_failure, clear_worker_failure},
     {"worker stalls", set_worker_stall, clear_worker_stall},
     {"worker silent", set_worker_silence, clear_worker_silence},
--- a/tests/test_worklink.c
+++ b/tests/test_worklink.c
@@ -17,7 +17,7 @@
 };
 
 static void
-fill_heartbeat_args(struct run_heartbeat_args *args, void *ctx)
+fill_heartbeat(struct run_heartbeat_args *args, void *ctx)
 {
 	(void)ctx;
 	memset(args, 0, sizeof(*args));
@@ -96,7 +96,7 @@
 	struct wlk_options opts = {
 	    .address = agent.address,
 	    .name = "e0",
-	    .fill_heartbeat = fill_heartbeat_args,
+	    .fill_heartbeat = fill_heartbeat,
 	    .worker = on_worker,
 	    .update = on_update,
 	    .closed = on_closed,
