--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -14,7 +14,7 @@
  */
 
 #define MAX_SEEDS	20
-#define AHEAD_UNLIMITED 100000 /* all queueing happens at the agents */
+#define AHEAD_UNLIMITED 100000 /* tasks; entries never hold tasks back */
 
 static guint n_seeds = 5;
 static guint n_tasks = 100000;
@@ -154,7 +154,7 @@
 	double load;
 	double declared_error;
 	gint job_size;
-	bool returns;
+	bool domain_returns;
 } args = {.entries = 3, .load = 0, .job_size = -1};
 
 static void
@@ -216,13 +216,13 @@
 }
 
 /*
- * Failure domain 0 is drained for 10 s of every 30 s; its workers come back at
- * a quarter of their speed.
+ * Failure domain 0 is drained for 10 s of every 30 s.  Its workers return at a
+ * quarter of their speed, which rises again with each task they finish.
  */
 static void
-run_returns(void)
+run_domain_returns(void)
 {
-	static const struct variant returns[] = {
+	static const struct variant return_variants[] = {
 	    {"return.equal_share",
 		{.policy = PLACE_RANDOM, .ahead = AHEAD_UNLIMITED}},
 	    {"return.least_wait.agent_queue",
@@ -235,16 +235,16 @@
 	guint v;
 
 	for (l = 0; l < G_N_ELEMENTS(loads); l++) {
-		for (v = 0; v < G_N_ELEMENTS(returns); v++) {
+		for (v = 0; v < G_N_ELEMENTS(return_variants); v++) {
 			struct workload_options wl = {.load = loads[l],
 			    .job_size = 1,
 			    .entries = args.entries};
-			struct replay_options opts = returns[v].opts;
+			struct replay_options opts = return_variants[v].opts;
 
 			opts.period_us = 30000000;
 			opts.away_us = 10000000;
 			opts.cold = 0.25;
-			run_variant(returns[v].name, &opts, wl);
+			run_variant(return_variants[v].name, &opts, wl);
 		}
 	}
 }
@@ -276,7 +276,7 @@
 		args.declared_error = g_ascii_strtod(arg, NULL);
 		break;
 	case 'r':
-		args.returns = true;
+		args.domain_returns = true;
 		break;
 	default:
 		return ARGP_ERR_UNKNOWN;
@@ -305,10 +305,10 @@
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, NULL) != 0)
 		return EXIT_FAILURE;
-	if (!args.returns)
+	if (!args.domain_returns)
 		run_variants();
-	if (args.returns ||
+	if (args.domain_returns ||
 	    (args.only == NULL && args.load == 0 && args.job_size < 0))
-		run_returns();
+		run_domain_returns();
 	return EXIT_SUCCESS;
 }
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -150,7 +150,7 @@
 }
 
 static double
-agents_cpu(void)
+agents_cpu_us(void)
 {
 	double sum = 0;
 	int i;
@@ -171,7 +171,8 @@
 {
 	int64_t version = sys_version(&sys, 0);
 	struct reading before = read_entry(&sys, 0), used;
-	double cpu = agents_cpu(), n = CONFIG_CHANGES, agents = sys.opts.agents;
+	double cpu = agents_cpu_us(), n = CONFIG_CHANGES,
+	       agents = sys.opts.agents;
 	int i;
 
 	for (i = 0; i < CONFIG_CHANGES; i++) {
@@ -180,7 +181,7 @@
 		hn_sleep(1200); /* more than two heartbeat intervals */
 	}
 	used = reading_since(before, read_entry(&sys, 0));
-	cpu = agents_cpu() - cpu - agents_idle_us_s * used.at_s;
+	cpu = agents_cpu_us() - cpu - agents_idle_us_s * used.at_s;
 	report("B",
 	    (used.bytes - idle.bytes / idle.at_s * used.at_s) / n / agents,
 	    "change.bytes_per_agent");
@@ -237,14 +238,14 @@
 		struct reading before;
 
 		add_agents((int)counts[i] - sys.opts.agents, NULL);
-		cpu = i == 3 ? agents_cpu() : 0;
+		cpu = i == 3 ? agents_cpu_us() : 0;
 		before = read_entry(&sys, 0);
 		hn_sleep(window_ms);
 		used[i] = reading_since(before, read_entry(&sys, 0));
 		print_rates(
 		    hn_str("entry.idle.agents%d", (int)counts[i]), used[i]);
 	}
-	cpu = (agents_cpu() - cpu) / used[3].at_s;
+	cpu = (agents_cpu_us() - cpu) / used[3].at_s;
 	print_slopes("entry.idle.per_agent", counts, used, 4);
 	report("calls/s", used[3].store_calls / used[3].at_s,
 	    "entry.idle.store_calls");
@@ -289,7 +290,7 @@
 	hn_finish();
 }
 
-/* Requested in advance, since callbacks cannot wait for an answer. */
+/* Job ids, requested before the load, since callbacks cannot wait for them. */
 static GPtrArray *ids;
 
 static void
--- a/bench/bench_system.c
+++ b/bench/bench_system.c
@@ -15,7 +15,7 @@
 
 #define JOBS_TIMEOUT_MS	   120000
 #define IDS_PER_REQUEST	   1000
-#define WARM_UP_SHARE	   0.1 /* of the jobs, left out as in replay.c */
+#define WARM_UP_SHARE	   0.1 /* share of jobs excluded, as in replay.c */
 #define SAMPLE_INTERVAL_MS 100
 #define OUTAGE_LOAD	   1.2 /* over capacity, so that workers never idle */
 #define OUTAGE_BEGIN_MS	   4000
@@ -30,7 +30,7 @@
  * Violations of guarantees; all must stay 0: tasks started more than once,
  * answers without all results, results of another task, tasks that started
  * although their job was answered "not_run", and starts in a failure domain
- * after it had been taken out.
+ * more than SYS_CONFIG_BOUND_MS after "spctl out" was called for it.
  */
 static struct {
 	int duplicate_starts, partial_answers, foreign_results,
@@ -275,7 +275,8 @@
 }
 
 struct messages {
-	double all, starts, start, results, heartbeats, store, seconds;
+	double all, started_tasks, start_messages, results_messages, heartbeats,
+	    store, seconds;
 };
 
 static struct messages
@@ -290,9 +291,11 @@
 		    hn_http("GET", sys_url(&sys, i, "/metrics"), NULL)->body;
 
 		m.all += metric_value(text, "sp_rpc_records_out_total");
-		m.starts += metric_value(text, "sp_starts_total");
-		m.start += metric_value(text, "sp_start_messages_total");
-		m.results += metric_value(text, "sp_results_messages_total");
+		m.started_tasks += metric_value(text, "sp_starts_total");
+		m.start_messages +=
+		    metric_value(text, "sp_start_messages_total");
+		m.results_messages +=
+		    metric_value(text, "sp_results_messages_total");
 		m.heartbeats += metric_value(text, "sp_heartbeats_total");
 		m.store += metric_value(text, "sp_store_calls_total");
 	}
@@ -311,8 +314,9 @@
 print_messages(const char *prefix, struct messages before)
 {
 	struct messages m = count_messages();
-	double tasks = m.starts - before.starts;
-	double needed = m.start - before.start + m.results - before.results;
+	double tasks = m.started_tasks - before.started_tasks;
+	double needed = m.start_messages - before.start_messages +
+			m.results_messages - before.results_messages;
 	double all = m.all - before.all;
 	/* Each heartbeat has a reply. */
 	double heartbeat_messages = 2 * (m.heartbeats - before.heartbeats);
@@ -385,12 +389,12 @@
 	}
 }
 
-/* Work done and capacity, sampled from the slots in use at the endpoints. */
+/* Sums over samples: slots in use * speed, and available slots * speed. */
 static struct {
 	int in_use[WORKERS];
-	bool away; /* domain 0 is out and adds no capacity */
+	bool away; /* domain 0 is out or killed: no capacity */
 	double done, capacity;
-	bool on;
+	bool sampling;
 } outage_work;
 
 static void
@@ -409,7 +413,7 @@
 	int i;
 
 	(void)data;
-	for (i = 0; i < WORKERS && outage_work.on; i++) {
+	for (i = 0; i < WORKERS && outage_work.sampling; i++) {
 		bool away = outage_work.away && worker_domain((uint32_t)i) == 0;
 
 		outage_work.done += outage_work.in_use[i] * load->speed[i];
@@ -419,7 +423,7 @@
 			sys.agent[i].endpoint_port),
 		    NULL, on_slots_in_use, &outage_work.in_use[i]);
 	}
-	return outage_work.on;
+	return outage_work.sampling;
 }
 
 static int64_t
@@ -477,8 +481,8 @@
 }
 
 /*
- * Kills the agents and endpoints of domain 0.  The agents are stopped before
- * the starts are read, so that no later start is missed in the counts.
+ * Kills the agents and endpoints of domain 0.  The agents get SIGSTOP first, so
+ * that no task starts after the endpoints' counts of starts have been read.
  */
 static void
 kill_domain(void)
@@ -517,14 +521,14 @@
 	start_load(OUTAGE_LOAD, 20, OUTAGE_RUN_MS / 1000.0);
 	memset(&outage_work, 0, sizeof(outage_work));
 	sleep_until(OUTAGE_BEGIN_MS - 1000);
-	outage_work.on = true;
+	outage_work.sampling = true;
 	g_timeout_add(SAMPLE_INTERVAL_MS, on_sample, NULL);
 	sleep_until(OUTAGE_BEGIN_MS - 500);
 	outage_work.done = outage_work.capacity = 0;
 	sleep_until(OUTAGE_BEGIN_MS);
 	take_out();
 	sleep_until(OUTAGE_RUN_MS);
-	outage_work.on = false;
+	outage_work.sampling = false;
 	report("share", outage_work.done / outage_work.capacity,
 	    "system.%s.work_of_capacity", name);
 	hn_wait_until(run.timer == 0 && run.in_flight == 0, JOBS_TIMEOUT_MS);
@@ -554,8 +558,9 @@
 		sys_set_proxy_rule(
 		    &sys, sys.entry[i].proxied_listen, "action=delay&ms=3");
 		/*
-		 * 3 ms a round trip, as 1.5 ms each way in the model: the
-		 * proxy delays by whole milliseconds.
+		 * The model has 1.5 ms each way.  The proxy delays by whole
+		 * milliseconds, hence the rules for 1 ms up and 2 ms down; but
+		 * a delay rule resets the other direction, so only 2 ms apply.
 		 */
 		for (d = 0; d < DOMAINS; d++) {
 			if (d == i)
--- a/bench/probe.h
+++ b/bench/probe.h
@@ -28,8 +28,9 @@
 void report_distribution(const char *name, const char *unit, GArray *doubles);
 
 /*
- * Resource usage of a process and totals of its metrics at one time.  In a
- * difference of two readings, at_s is the time between them.
+ * Resource usage of a process and totals of its metrics at one time: RPC bytes
+ * in both directions, RPC bytes and records sent, calls to the store and tasks
+ * started.  In a difference of two readings, at_s is the time between them.
  */
 struct reading {
 	double at_s, cpu_us, rss_kb;
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -8,8 +8,8 @@
 #define HEARTBEAT_US	   500000
 #define WARM_UP_SHARE	   0.1 /* share of jobs excluded from the results */
 #define SAMPLE_INTERVAL_US 1000000
-#define COLD_TASKS	   50.0 /* run after a return until full speed */
-#define RETURN_WINDOW_US   10000000
+#define COLD_TASKS	   50.0 /* after which a returned worker has full speed */
+#define RETURN_WINDOW_US   10000000 /* see return_mean_ms in replay.h */
 #define NO_TASK		   UINT32_MAX
 
 enum event_kind {
@@ -266,7 +266,7 @@
 	    now_ms(s));
 }
 
-/* Sends the worker's load with the outcome of a task, unless NO_TASK. */
+/* Sends the entry the worker's load and, unless NO_TASK, a task's outcome. */
 static void
 send_report(struct sim *s, uint32_t worker, uint32_t entry, uint32_t task)
 {
@@ -461,9 +461,9 @@
 }
 
 /*
- * Counts the jobs in flight and their started tasks, once for each failure
- * domain, and those that would be lost if the domain failed now: the job's
- * entry or an unanswered task of the job is in the domain.
+ * For each failure domain, counts the jobs in flight and their started tasks,
+ * and those that would be lost if the domain failed now.  A job is lost if its
+ * entry or the worker of one of its unanswered tasks is in the domain.
  */
 static void
 on_sample(struct sim *s, const struct event *ev)
@@ -506,8 +506,8 @@
 }
 
 /*
- * Drains domain 0, whose running tasks finish but which gets no new ones, or
- * brings it back with the speed history of its workers lost.
+ * DOMAIN_LEAVES drains domain 0: it finishes its tasks and gets no new ones.
+ * DOMAIN_RETURNS adds its workers again, without their speed history.
  */
 static void
 on_domain_change(struct sim *s, const struct event *ev)
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -17,10 +17,10 @@
 	bool longest_first;   /* queue a job's longest tasks first */
 	bool instant;	      /* load reports reach all entries without delay */
 	int64_t heartbeat_us; /* interval; 0: 500 ms */
-	/* Every period_us, failure domain 0 is out for away_us; 0: never. */
+	/* Every period_us, domain 0 is drained for away_us; 0: never. */
 	int64_t period_us;
 	int64_t away_us;
-	double cold; /* speed factor of a worker just returned; 0: 1 */
+	double cold; /* initial speed factor after a return; 0: full speed */
 	uint64_t seed;
 };
 
@@ -30,8 +30,8 @@
 	double mean_ms;
 	double p99_ms;
 	/*
-	 * Jobs of one task only: response time over that on the fastest worker
-	 * that had a free slot on arrival; jobs that found none do not count.
+	 * Jobs of one task that find a free slot on arrival: response time over
+	 * the ideal response time on the fastest worker with a free slot.
 	 */
 	double free_mean_ratio;
 	double free_p99_ratio;
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -147,7 +147,7 @@
 		uint32_t k;
 
 		j->first = first;
-		/* Not within MIN, which would draw the size twice. */
+		/* MIN() would call job_size() twice and draw two sizes. */
 		j->n = job_size(opts, rng);
 		j->n = MIN(j->n, load->n_tasks - first);
 		j->entry = (uint32_t)(rng_uniform(rng) * opts->entries);
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -15,7 +15,7 @@
 struct task {
 	uint32_t job;
 	int64_t work_us;     /* run time at speed 1 */
-	int64_t declared_us; /* estimate, wrong by up to declared_error */
+	int64_t declared_us; /* estimate of work_us, see declared_error */
 };
 
 struct job {
@@ -40,7 +40,7 @@
 	uint32_t job_size; /* tasks; 0: a mix of 1, 20 and 100 */
 	uint32_t n_tasks;
 	uint32_t entries;
-	double declared_error; /* largest factor of wrong estimates; 0: 10 */
+	double declared_error; /* estimates: 1/x to x times work_us; 0: 10 */
 };
 
 double rng_uniform(uint64_t *state);
--- a/tests/fault_proxy.c
+++ b/tests/fault_proxy.c
@@ -6,8 +6,8 @@
  *   pair       listening port of the pair; absent: all pairs
  *   action     cut, freeze, delay, drop, release or restore
  *   match      affects only connections whose first bytes from the client
- *              contain this text; for drop, the text must occur in data of
- *              the opposite direction
+ *              contain this text; drop instead waits until data of the
+ *              connection's opposite direction contains it
  *   direction  up (from the client), down or both (default)
  *   scope      existing, or all (default), which includes later connections
  *   ms         delay in milliseconds
@@ -44,7 +44,7 @@
 	enum action action;
 	bool up, down;
 	char *match; /* empty: every connection */
-	int64_t ms;  /* of delay; drop: address of the link it is armed for */
+	int64_t ms;  /* delay; drop: address of the link that matched */
 };
 
 struct pair {
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -56,7 +56,7 @@
 
 struct worker {
 	int index;
-	guint app_port;	    /* serves the calls of a holder */
+	guint app_port;	    /* serves hold, run-start and run-stop */
 	guint control_port; /* of the agent that heartbeats go to */
 	char *zone;
 	int64_t born_ms;       /* start of this incarnation, wall clock */
@@ -66,12 +66,15 @@
 	int64_t last_end_seq;
 	GPtrArray *runs;	   /* struct run */
 	struct json_object *ended; /* ended runs to report */
-	GHashTable *closed_runs;   /* task -> highest run that may not start */
-	GPtrArray *holds;	   /* struct pending_reply */
+	GHashTable *closed_runs;   /* task -> highest run ended or stopped */
+	GPtrArray *holds;	   /* struct pending_reply of hold calls */
 	bool crashed;
 };
 
-/* A call that is answered later: a store watch or a worker's hold. */
+/*
+ * A call that is answered later: a store watch, or a hold call, which can
+ * extend the worker's lease and waits for ended runs.
+ */
 struct pending_reply {
 	SoupServerMessage *msg;
 	char *prefix;	  /* watch: of the keys */
@@ -188,7 +191,7 @@
 	return json;
 }
 
-/* Returns the items written after a revision, and deletions if asked. */
+/* Returns items changed after a revision; deleted ones only with deletions. */
 static struct json_object *
 select_items(const char *prefix, int64_t after, bool deletions)
 {
