--- a/tests/harness.h
+++ b/tests/harness.h
@@ -22,9 +22,9 @@
 
 /* Starts a program of the build directory; argv ends with NULL. */
 struct hn_proc *hn_start(const char *name, const char *const argv[]);
-/* Starts it again with the same arguments; it must have been waited for. */
+/* Restarts a process with the same arguments after its exit was waited for. */
 void hn_restart(struct hn_proc *proc);
-pid_t hn_pid(const struct hn_proc *proc); /* 0 once waited for */
+pid_t hn_pid(const struct hn_proc *proc); /* 0 once the exit was waited for */
 void hn_signal(struct hn_proc *proc, int signo);
 /* Sends SIGKILL and waits for the exit. */
 void hn_kill(struct hn_proc *proc);
--- a/tests/system.c
+++ b/tests/system.c
@@ -6,7 +6,7 @@
 #include "system.h"
 
 #define CLUSTER_KEY   "test-cluster-key"
-#define LOAD_MAX_JOBS 1000 /* one request gets the ids of a load */
+#define LOAD_MAX_JOBS 1000 /* one request returns all job ids */
 #define LOAD_POLL_MS  5
 
 static void
@@ -39,10 +39,10 @@
 }
 
 void
-sys_set_proxy_rule(struct sys *sys, uint16_t pair, const char *query)
+sys_set_proxy_rule(struct sys *sys, uint16_t port, const char *query)
 {
 	const char *url = hn_str(
-	    "http://127.0.0.1:%u/?pair=%u&%s", sys->proxy_control, pair, query);
+	    "http://127.0.0.1:%u/?pair=%u&%s", sys->proxy_control, port, query);
 
 	require(hn_http("POST", url, "")->status == 200, query);
 }
@@ -335,7 +335,7 @@
 	    body);
 }
 
-/* Does what a caller does that must learn the outcome of its job. */
+/* Resubmits as a caller does that needs the final outcome of its job. */
 struct hn_http *
 sys_submit_until_final(
     struct sys *sys, int entry, const char *id, const char *body)
--- a/tests/system.h
+++ b/tests/system.h
@@ -19,7 +19,7 @@
 struct sys_options {
 	int entries, agents, domains;
 	int slots;   /* of each endpoint; 0 means 8 */
-	bool direct; /* no proxy: its ports equal the real ones */
+	bool direct; /* no proxy; proxied_* are the direct ports */
 	/* Further JSON members, ",\"key\":value...", or NULL. */
 	const char *entry_settings;
 	const char *agent_settings;
@@ -72,10 +72,10 @@
 bool sys_wait_job_completes(struct sys *sys, int entry, int64_t limit_ms);
 
 /*
- * Sets a rule of the fault proxy; pair is one of an entry's proxy ports, or 0
- * for all.  An invalid rule aborts the test.
+ * Sets a rule of the fault proxy for one of an entry's proxied_* ports, or for
+ * all if port is 0.  An invalid rule aborts the test.
  */
-void sys_set_proxy_rule(struct sys *sys, uint16_t pair, const char *query);
+void sys_set_proxy_rule(struct sys *sys, uint16_t port, const char *query);
 /* Calls /control/CONTROL of standin_store. */
 void sys_store_control(struct sys *sys, const char *control);
 /* Sets the failure mode of an agent's endpoint. */
@@ -102,7 +102,7 @@
 
 /* Starts of a job's tasks, summed over all endpoints that answer. */
 struct sys_count {
-	int total, tasks, most; /* most: of the task started most often */
+	int total, tasks, most; /* most: maximum for one task */
 };
 struct sys_count sys_job_starts(struct sys *sys, const char *id);
 /* Returns the count of all starts at one endpoint, -1 when it is down. */
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -37,7 +37,7 @@
 	int n;
 	const char *payload; /* of the last task */
 	const char *entry_settings;
-	int status;	 /* 0: 502 or 504, whichever side times out first */
+	int status;	 /* 0: 502, or 504 if the deadline passes first */
 	const char *ran; /* NULL: any */
 } failing_jobs[] = {
     {"one task fails", 20, "{\"fail\":true,\"run_ms\":50}", NULL, 502,
@@ -258,7 +258,7 @@
 	    "%s: refused as not_run, but a task started", name);
 }
 
-/* No task of a job refused as "not_run" was counted at an endpoint. */
+/* Endpoints start no task of a job that was refused as "not_run". */
 START_TEST(refused_jobs_never_start)
 {
 	struct hn_http *http, *busy[8];
--- a/tests/test_bad_input.c
+++ b/tests/test_bad_input.c
@@ -68,7 +68,7 @@
 	return kb;
 }
 
-/* Sends an RPC record that is malformed in one of five ways, cut at random. */
+/* Sends an RPC record malformed in one of 5 ways, cut to a random length. */
 static void
 send_malformed_rpc(GRand *rand, int fd)
 {
--- a/tests/test_overload.c
+++ b/tests/test_overload.c
@@ -11,7 +11,7 @@
 #include "system.h"
 
 #define N_JOBS 200
-/* The memory limit for control traffic per node. */
+/* Limit of memory growth, equal to that of control traffic per node. */
 #define RSS_GROWTH_MAX_KB (64L * 1024)
 /* Time that an entry waits for the outcomes of a cancelled job's tasks. */
 #define CANCEL_GRACE_MS 250
@@ -149,8 +149,8 @@
 
 /*
  * A worker whose tasks fail immediately looks idle and fast and must not
- * attract work.  Ejection takes up to 10 failures in a window of 20.  Tasks
- * sent before the ejection still start (4 slots, 2 sent ahead), as do probes
+ * attract work.  Ejection takes up to 10 failures in a window of 20.  The tasks
+ * sent before it still start (4 in slots, 1 in the agent's queue), as do probes
  * after 1, 2, 4, 8 and 16 s.
  */
 static void
@@ -213,7 +213,7 @@
 
 static const struct {
 	const char *out; /* service to take out of service first */
-	const char *body, *error, *names;
+	const char *body, *error, *in_message;
 } refused_cases[] = {
     {NULL, JOB("desk", ",\"cores\":5"), "can_never_run", "5 cores"},
     {NULL, JOB("desk", ",\"memory_mb\":9999"), "can_never_run", "9999 MB"},
@@ -251,9 +251,9 @@
 			refused_cases[i].error) == 0 &&
 			strcmp(hn_json_str(http, "ran"), "not_run") == 0 &&
 			strstr(hn_json_str(http, "message"),
-			    refused_cases[i].names) != NULL,
+			    refused_cases[i].in_message) != NULL,
 		    "%s %s: %d %.200s", refused_cases[i].error,
-		    refused_cases[i].names, http->status, http->body);
+		    refused_cases[i].in_message, http->status, http->body);
 		ck_assert_int_eq(sys_job_starts(sys, id).total, 0);
 	}
 }
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -119,7 +119,7 @@
 	const char *name;
 	void (*stop_worker)(struct run *run);
 	bool graceful;			  /* no request may fail */
-	bool agent_exits, endpoint_exits; /* without SIGKILL, with status 0 */
+	bool agent_exits, endpoint_exits; /* must exit with status 0 */
 } rows[] = {
     {"agent terminated", term_agent, true, true, false},
     {"endpoint terminated", term_endpoint, true, false, true},
@@ -144,8 +144,8 @@
 
 /*
  * A worker that stops or crashes gets no new tasks once its announcement has
- * expired and SYS_CONFIG_BOUND_MS has passed.  Only jobs with tasks running there may
- * fail.
+ * expired and SYS_CONFIG_BOUND_MS has passed.  Only jobs with tasks running at
+ * this worker may fail.
  */
 START_TEST(stopped_worker_gets_no_work)
 {
@@ -171,11 +171,11 @@
 		    at_bound.unknown, at_bound.not_run, at_bound.none);
 	hn_sleep(4000);
 	ck_assert_msg(sys_endpoint_starts(&run.sys, 0) == total,
-	    "%s: tasks started there after the bound", rows[_i].name);
-	/* Jobs fail only if they had tasks there, so none fails from now on. */
+	    "%s: the stopped worker still started tasks", rows[_i].name);
+	/* Only jobs with tasks at that worker fail; all have failed by now. */
 	later = sum_counts(&run);
 	ck_assert_msg(later.failed + later.unknown == n_failed,
-	    "%s: %d more jobs failed after the bound", rows[_i].name,
+	    "%s: %d more jobs failed after the time limit", rows[_i].name,
 	    later.failed + later.unknown - n_failed);
 	ck_assert_int_gt(later.complete, at_bound.complete);
 	if (rows[_i].endpoint_exits)
--- a/tests/test_start_once.c
+++ b/tests/test_start_once.c
@@ -11,12 +11,12 @@
 #include "system.h"
 
 #define N_TASKS	 6
-#define PAUSE_MS 4500 /* more than freshness_ms and silence_ms */
+#define PAUSE_MS 4500 /* longer than freshness_ms and than silence_ms */
 
 struct run {
 	struct sys sys;
 	const char *id, *body;
-	struct hn_http *http; /* the request, or the first submission */
+	struct hn_http *http; /* the job's first submission or the request */
 };
 
 typedef void (*step_fn)(struct run *run);
@@ -57,7 +57,7 @@
 	    "action=freeze&scope=existing");
 }
 
-/* Holds back START on connections that both ends time out and replace. */
+/* Holds back START; both ends time out meanwhile and the agent reconnects. */
 static void
 freeze_starts(struct run *run)
 {
@@ -152,7 +152,7 @@
 	release_late(run);
 }
 
-/* Cuts only agents' connections: resubmissions use the one between entries. */
+/* The connection between entries stays: resubmissions pass through it. */
 static void
 cut_and_resubmit(struct run *run)
 {
@@ -188,7 +188,7 @@
 	false, false},
     {"START late and entry restarted", freeze_starts, restart_entry_and_release,
 	false, false},
-    {"cut and resubmitted", NULL, cut_and_resubmit, true, true},
+    {"connections cut, resubmitted", NULL, cut_and_resubmit, true, true},
 };
 
 static void
@@ -280,7 +280,7 @@
 	run.body = "{\"run_ms\":600}";
 	before =
 	    sys_endpoint_starts(&run.sys, 0) + sys_endpoint_starts(&run.sys, 1);
-	/* This request bypasses the proxy between caller and entry. */
+	/* drop_caller_reply has no effect: this request bypasses the proxy. */
 	if (rows[_i].before != NULL && rows[_i].before != drop_caller_reply)
 		rows[_i].before(&run);
 	run.http = hn_http_start("POST",
@@ -313,8 +313,8 @@
 END_TEST
 
 /*
- * A job that is resubmitted after job_retention_s is refused: its owner no
- * longer has its outcome and must not start it a second time.
+ * A job that is resubmitted after job_retention_s is refused: the owning entry
+ * has dropped the outcome and must not start the job a second time.
  */
 START_TEST(expired_id_is_refused)
 {
