--- a/bench/replay.c
+++ b/bench/replay.c
@@ -8,7 +8,7 @@
 #define HEARTBEAT_US	   500000
 #define WARM_UP_SHARE	   0.1 /* share of jobs excluded from the results */
 #define SAMPLE_INTERVAL_US 1000000
-#define COLD_TASKS	   50.0 /* after which a returned worker has full speed */
+#define COLD_TASKS	   50.0	    /* until a returned worker has full speed */
 #define RETURN_WINDOW_US   10000000 /* see return_mean_ms in replay.h */
 #define NO_TASK		   UINT32_MAX
 
--- a/src/connection/entrylink.h
+++ b/src/connection/entrylink.h
@@ -55,7 +55,7 @@
 	uint64_t incarnation;	 /* of the agent */
 	struct fresh *fresh;	 /* outlives the link */
 	int64_t heartbeat_ms;
-	/* Timeout of connecting, of HELLO, and of a connection without input. */
+	/* Timeout of connecting, HELLO, and a connection without input. */
 	int64_t silence_ms;
 	const struct el_handlers *handlers;
 	void *ctx;
--- a/src/connection/holder.c
+++ b/src/connection/holder.c
@@ -62,7 +62,7 @@
 	 * to a call without a wait, but not by other answers to a long poll.
 	 */
 	int64_t unanswered_since_ms;
-	/* Counts changes of the worker; answers to earlier calls are ignored. */
+	/* Counts worker changes; answers to earlier calls are ignored. */
 	uint64_t generation;
 	int64_t short_poll_until_ms;
 	/* Reason for reporting runs as lost when clearing is done, or NULL. */
--- a/src/connection/workerport.h
+++ b/src/connection/workerport.h
@@ -40,7 +40,7 @@
 	const char *task;
 	const char *spec;
 	int64_t run; /* number, increases with every start */
-	/* Worker's clock; latest time of the start, and new end of the lease. */
+	/* Worker's clock; latest time of the start, new end of the lease. */
 	int64_t deadline_ms;
 };
 
--- a/src/version/voters.c
+++ b/src/version/voters.c
@@ -170,7 +170,8 @@
 
 	for (i = 0; i < sets->len; i++) {
 		/*
-		 * Keep the newer of equal sets: quo_confirm() uses the last one.
+		 * Keep the newer of equal sets: quo_confirm() uses the
+		 * last one.
 		 */
 		if (same_voters(g_ptr_array_index(sets, i), set)) {
 			g_ptr_array_remove_index(sets, i);
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -35,7 +35,7 @@
 
 #define MAX_WORKERS	    8
 #define CAPACITY_MILLI	    8000
-#define TASK_MILLI	    1000 /* all tasks in the tests ask for this much CPU */
+#define TASK_MILLI	    1000 /* CPU that each test task asks for */
 #define LEASE_MAX_MS	    1000 /* longest lease granted by one call */
 #define WORKER_HEARTBEAT_MS 200
 #define RUN_TICK_MS	    5
--- a/tests/test_configuration.c
+++ b/tests/test_configuration.c
@@ -213,8 +213,8 @@
 }
 
 /*
- * Guards against task starts in a failure domain later than SYS_CONFIG_BOUND_MS after
- * it was taken out of service, also after the fault was repaired.
+ * Guards against task starts in a failure domain later than SYS_CONFIG_BOUND_MS
+ * after it was taken out of service, also after the fault was repaired.
  */
 START_TEST(out_within_bound)
 {
